--- a/src/wardstair/decisions/admission.py
+++ b/src/wardstair/decisions/admission.py
@@ -1,8 +1,8 @@
-"""Bounded waiting for a slot, with the least important refused first."""
+"""A bounded queue for slots that rejects the least important request first."""
 
 from dataclasses import dataclass, field
 
-IMPORTANCE_MOST = 9
+MAX_IMPORTANCE = 9
 
 
 @dataclass(frozen=True)
@@ -11,7 +11,7 @@
 
     Attributes:
         number: Identifies the waiter; older requests have lower numbers.
-        importance: 0 to 9, the higher the more important.
+        importance: 0 to 9; higher is more important.
         deadline: Monotonic time in seconds after which an answer is useless.
     """
 
@@ -22,49 +22,54 @@
 
 @dataclass(frozen=True)
 class Enqueued:
-    """The waiter is in the queue; those displaced must be refused."""
+    """The waiter was added to the queue.
+
+    Attributes:
+        displaced: Waiters that were removed to make room; the caller must
+            refuse their requests.
+    """
 
     displaced: tuple[Waiter, ...] = ()
 
 
 @dataclass(frozen=True)
 class Rejected:
-    """The queue is full of requests at least as important."""
+    """The queue is full, and every waiter in it is at least as important."""
 
 
 @dataclass
 class WaitingQueue:
-    """Requests of all workloads that wait on one host.
+    """Requests of all workloads that wait for a slot on one host.
 
     Attributes:
-        limit: Most requests that wait at once.
-        waiters: Those that wait, in order of arrival.
+        limit: Largest number of requests that may wait at once.
+        waiters: The waiting requests by number, in order of arrival.
     """
 
     limit: int
     waiters: dict[int, Waiter] = field(default_factory=dict)
 
     def add(self, waiter: Waiter) -> Enqueued | Rejected:
-        """Admit a waiter, displacing a less important one if need be."""
+        """Add a waiter; if the queue is full, displace a less important one."""
         if len(self.waiters) < self.limit:
             self.waiters[waiter.number] = waiter
             return Enqueued()
         if not self.waiters:
             return Rejected()
-        # Among equals the newest goes: the oldest has waited longest and
-        # is nearest to being served.
-        least = min(
+        # Among waiters of equal importance, displaces the newest: the oldest
+        # has waited longest and is closest to being served.
+        least_important = min(
             self.waiters.values(),
             key=lambda other: (other.importance, -other.number),
         )
-        if least.importance >= waiter.importance:
+        if least_important.importance >= waiter.importance:
             return Rejected()
-        self.waiters.pop(least.number)
+        self.waiters.pop(least_important.number)
         self.waiters[waiter.number] = waiter
-        return Enqueued(displaced=(least,))
+        return Enqueued(displaced=(least_important,))
 
     def remove(self, number: int) -> None:
-        """Remove a waiter that was served or gave up."""
+        """Remove a waiter that was served or no longer waits."""
         self.waiters.pop(number, None)
 
     def by_priority(self) -> list[Waiter]:
@@ -75,17 +80,17 @@
         )
 
     def drop_expired(self, now: float, time_needed: float) -> list[Waiter]:
-        """Remove and return those that can no longer be served in time.
+        """Remove and return waiters that cannot be served by their deadline.
 
         Args:
             now: Monotonic time in seconds.
-            time_needed: Expected seconds from slot to answer.
+            time_needed: Expected seconds from getting a slot to the answer.
         """
-        late = [
+        expired = [
             waiter
             for waiter in self.waiters.values()
             if waiter.deadline < now + time_needed
         ]
-        for waiter in late:
+        for waiter in expired:
             self.waiters.pop(waiter.number)
-        return late
+        return expired
--- a/src/wardstair/decisions/answer_times.py
+++ b/src/wardstair/decisions/answer_times.py
@@ -1,25 +1,25 @@
-"""What the time of an answer tells of the upstream that gave it.
+"""Evaluates answer times: slow upstreams, hedging and overdue answers.
 
-A first run on a key takes several times as long as later ones. In a large
-fleet a host seldom sees the same key twice at the same upstream, so it mostly
-cannot know which of the two an answer was.
+A cold run on a key takes several times as long as a run on a warm key. In a
+large fleet a host seldom sends the same key to the same upstream twice, so it
+usually cannot know whether an answer came from a cold or a warm run.
 """
 
-# Work varies: an answer within this multiple of the expected time is as
-# expected.
-USUAL_RATIO = 1.5
-# A repeatable request is sent to a second upstream when the first is silent for
-# this many times the expected time, but not before a first run on its key would
-# have ended, if it may be one: the second would be a first run as well, take as
-# long, and displace a key that is warm there.
+# Work varies: an answer within this multiple of the expected time counts as
+# normal.
+NORMAL_RATIO = 1.5
+# A repeatable request is hedged, that is, sent to a second upstream, after this
+# multiple of the expected time. If it may be a cold run, hedging also waits
+# until a cold run would have ended: the run on the second upstream would be
+# cold too, take as long, and displace a warm key there.
 HEDGE_RATIO = 2.5
 HEDGE_LONGEST_RATIO = 1.4
-LEAST_HEDGE_SECONDS = 0.25
-# The same for when an upstream itself looks slow, or dead. The longest work is
-# some three times the mean.
+MIN_HEDGE_SECONDS = 0.25
+# The same for the delay after which an upstream counts as slow or dead. The
+# longest work takes about three times the mean.
 OVERDUE_RATIO = 3.0
 OVERDUE_LONGEST_RATIO = 1.5
-LEAST_OVERDUE_SECONDS = 0.15
+MIN_OVERDUE_SECONDS = 0.15
 
 
 def slowdown_ratio(
@@ -29,48 +29,49 @@
     cold: float,
     is_known_warm: bool,
 ) -> float | None:
-    """Return how much slower than expected an upstream was; 1 is as expected.
+    """Return the ratio of an answer's time to the expected time.
 
     Args:
-        seconds: Time of the answer.
-        warm: Expected seconds on a key that the upstream remembers.
-        cold: Expected seconds on one that it does not.
-        is_known_warm: Whether it certainly remembered the key.
+        seconds: Time until the answer.
+        warm: Expected seconds if the key is warm at the upstream.
+        cold: Expected seconds if the key is cold there.
+        is_known_warm: Whether the key was certainly warm.
 
     Returns:
-        The ratio; None if the time may as well tell of the key.
+        The ratio, where 1 is as expected; None if a cold run would explain
+        the time equally well.
     """
-    if is_known_warm or seconds <= warm * USUAL_RATIO:
+    if is_known_warm or seconds <= warm * NORMAL_RATIO:
         return seconds / warm
-    if seconds > cold * USUAL_RATIO:
+    if seconds > cold * NORMAL_RATIO:
         return seconds / cold
     return None
 
 
 def hedge_delay(expected: float, longest: float) -> float:
-    """Return the seconds of silence after which a second upstream is tried.
+    """Return the seconds without an answer after which a request is hedged.
 
     Args:
-        expected: Expected seconds of the answer.
-        longest: The same if the upstream does not remember the key after all;
-            as expected if it certainly does.
+        expected: Expected seconds until the answer.
+        longest: Expected seconds if the run turns out to be cold; equal to
+            `expected` if the key is certainly warm.
     """
     return max(
         expected * HEDGE_RATIO,
         longest * HEDGE_LONGEST_RATIO,
-        LEAST_HEDGE_SECONDS,
+        MIN_HEDGE_SECONDS,
     )
 
 
 def overdue_delay(expected: float, longest: float) -> float:
-    """Return the seconds after which an upstream looks slow or dead.
+    """Return the seconds after which an upstream counts as slow or dead.
 
     Args:
-        expected: Expected seconds of the answer.
-        longest: The same if the upstream does not remember the key after all.
+        expected: Expected seconds until the answer.
+        longest: Expected seconds if the run turns out to be cold.
     """
     return max(
         expected * OVERDUE_RATIO,
         longest * OVERDUE_LONGEST_RATIO,
-        LEAST_OVERDUE_SECONDS,
+        MIN_OVERDUE_SECONDS,
     )
--- a/src/wardstair/decisions/attempts.py
+++ b/src/wardstair/decisions/attempts.py
@@ -1,8 +1,8 @@
-"""What an attempt at an upstream proves about the request.
+"""Outcomes of attempts at an upstream, and whether the request may have run.
 
-"Not run" is said only where it is proved: no byte of the request left this
-host, or the upstream itself said so. Everything else that ends without a
-whole answer may have run.
+A request counts as not run only if that is certain: no byte of it left this
+host, or the upstream answered that it did not run it. Any other attempt that
+ends without a complete answer may have run.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """The whole answer arrived."""
+    """The complete answer arrived."""
 
     status: int
 
@@ -34,11 +34,12 @@
 
 @dataclass(frozen=True)
 class IncompleteAnswer:
-    """Bytes left, and no whole answer came.
+    """Bytes of the request were sent, but no complete answer arrived.
 
     Attributes:
-        answer_begun: Whether the answer's headers had gone to the caller.
-        timed_out: Whether time ran out, as against a broken connection.
+        answer_begun: Whether the answer's headers were sent to the caller.
+        timed_out: Whether the attempt timed out; otherwise the connection
+            broke.
     """
 
     answer_begun: bool = False
@@ -47,12 +48,12 @@
 
 @dataclass(frozen=True)
 class MismatchedAnswer:
-    """The answer named another request than the one sent."""
+    """The request ID in the answer is not that of the request sent."""
 
 
 @dataclass(frozen=True)
 class Abandoned:
-    """The caller left before the answer was whole."""
+    """The caller disconnected before the answer was complete."""
 
 
 AttemptOutcome = (
@@ -66,7 +67,7 @@
 
 
 def may_have_run(outcome: AttemptOutcome) -> bool:
-    """Return False only if the attempt provably did not run."""
+    """Return False only if the request certainly did not run."""
     match outcome:
         case DeclaredNotRun() | NeverSent():
             return False
@@ -75,7 +76,7 @@
 
 
 def retry_reason(outcome: AttemptOutcome) -> RetryReason | None:
-    """Return why another attempt could help, or None if it cannot."""
+    """Return the reason for a retry, or None if a retry cannot help."""
     match outcome:
         case NeverSent(timed_out=True):
             return RetryReason.connect_timeout
--- a/src/wardstair/decisions/authorisation.py
+++ b/src/wardstair/decisions/authorisation.py
@@ -1,4 +1,4 @@
-"""Decides by its API key whether a request may be served."""
+"""Authorises requests by API key."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
--- a/src/wardstair/decisions/blocks.py
+++ b/src/wardstair/decisions/blocks.py
@@ -1,8 +1,8 @@
-"""Look-up of the site that a client block belongs to.
+"""Looks up the site of a caller's address in a table of address blocks.
 
-The table is two parallel arrays: the first address of each block and the
-number of its site. Addresses between two blocks belong to no site. At 1.1
-million blocks the arrays take 5.5 MB.
+The table consists of two parallel arrays: the first address of each range and
+its site number. Gaps between blocks are ranges with the site `NO_SITE`. The
+arrays take 5.5 MB for 1.1 million blocks.
 """
 
 from array import array
@@ -17,11 +17,11 @@
 
 @dataclass(frozen=True)
 class Block:
-    """A range of caller addresses that is steered as one.
+    """A network of caller addresses that is steered to one site.
 
     Attributes:
         network: The IPv4 network of the block.
-        site: Number of the site it belongs to, 0 to 254.
+        site: Number of its site, 0 to 254.
     """
 
     network: IPv4Network
@@ -30,11 +30,11 @@
 
 @dataclass
 class BlockTable:
-    """Sorted block starts with the site of each.
+    """Sorted first addresses of ranges, with the site of each range.
 
     Attributes:
         starts: First addresses, ascending, as unsigned 32-bit numbers.
-        sites: Site number for the range that begins at the same index.
+        sites: Site number of the range at the same index.
     """
 
     starts: 'array[int]' = field(default_factory=lambda: array('I', [0]))
@@ -42,14 +42,14 @@
 
     @property
     def size(self) -> int:
-        """Number of ranges, gaps included."""
+        """Number of ranges, including gaps."""
         return len(self.starts)
 
     def find_site(self, address: IPv4Address | int) -> int:
-        """Return the site of an address, or NO_SITE.
+        """Return the site number of an address, or `NO_SITE`.
 
         Args:
-            address: The caller's IPv4 address, or its number.
+            address: The caller's IPv4 address, as an object or as an integer.
         """
         return self.sites[bisect_right(self.starts, int(address)) - 1]
 
@@ -58,11 +58,11 @@
     """Build the table from blocks in any order.
 
     Args:
-        blocks: Blocks that do not overlap; where they do, the one with the
-            longer prefix wins inside its own range.
+        blocks: Blocks in any order. Where they overlap, the one with the
+            longer prefix takes precedence.
 
     Returns:
-        The table, with gap rows where no block covers an address.
+        The table, with `NO_SITE` ranges where no block covers an address.
     """
     ordered = sorted(
         blocks,
--- a/src/wardstair/decisions/choice.py
+++ b/src/wardstair/decisions/choice.py
@@ -1,8 +1,8 @@
-"""Choice of the upstream for one request.
+"""Chooses the upstream for a request.
 
-The host's own count of requests in flight and its own recent latency come
-first. Load reports of upstreams may lag or mislead, so a report can only
-make an upstream less attractive, never raise a limit.
+The choice relies on what this host measures itself: its requests in flight and
+their recent latency. Load reports of upstreams may be late or wrong, so a
+report can only worsen an upstream's score.
 """
 
 from collections.abc import Sequence
@@ -11,21 +11,23 @@
 
 REPORT_MAX_AGE_SECONDS = 5.0
 SLOW_START_SECONDS = 30.0
-COLD_START_FLOOR = 0.25
+SLOW_START_MIN_SHARE = 0.25
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """An upstream as one host sees it at one moment.
+    """A snapshot of an upstream as seen by one host.
 
     Attributes:
         name: Name of the upstream.
-        free_slots: Slots that this host holds for it and does not use.
-        in_flight: Requests that this host has at the upstream.
-        latency: Recent latency seen by this host, in seconds.
-        reported_load: Load the upstream reports, 0.0 to 1.0 and above.
+        free_slots: Unused slots that this host holds for it.
+        in_flight: Requests of this host in flight at the upstream.
+        latency: Recent latency measured by this host, in seconds.
+        reported_load: Load that the upstream reports; 1.0 is full, more is
+            overload.
         report_age: Age of that report in seconds.
-        in_service_seconds: Seconds since the upstream came (back) into service.
+        in_service_seconds: Seconds since the upstream entered or re-entered
+            service.
     """
 
     name: str
@@ -40,16 +42,18 @@
 def score(candidate: Candidate) -> float:
     """Return the expected cost of one more request; lower is better."""
     expected = (candidate.in_flight + 1) * max(candidate.latency, 1e-4)
-    distrust = 1.0
+    load_factor = 1.0
     if candidate.report_age < REPORT_MAX_AGE_SECONDS:
-        distrust += max(candidate.reported_load, 0.0)
-    return expected * distrust / slow_start_share(candidate.in_service_seconds)
+        load_factor += max(candidate.reported_load, 0.0)
+    return (
+        expected * load_factor / slow_start_share(candidate.in_service_seconds)
+    )
 
 
 def slow_start_share(in_service_seconds: float) -> float:
-    """Return the share of work a starting upstream can take, up to 1.0."""
+    """Return the share of full load that an upstream gets in slow start."""
     progress = min(max(in_service_seconds, 0.0) / SLOW_START_SECONDS, 1.0)
-    return COLD_START_FLOOR + (1.0 - COLD_START_FLOOR) * progress
+    return SLOW_START_MIN_SHARE + (1.0 - SLOW_START_MIN_SHARE) * progress
 
 
 def choose(
@@ -57,22 +61,23 @@
     tried: frozenset[str],
     random: Random,
 ) -> Candidate | None:
-    """Choose by the power of two choices among upstreams with a free slot.
+    """Choose among upstreams with a free slot by the power of two choices.
 
     Args:
         candidates: The upstreams that may serve the request.
-        tried: Names that this request must not go to again.
+        tried: Names of upstreams to which this request was already sent.
         random: Source of randomness.
 
     Returns:
-        The better of two candidates drawn at random, or None.
+        The better of two candidates drawn at random; None if no candidate is
+        eligible.
     """
-    able = [
+    eligible = [
         candidate
         for candidate in candidates
         if candidate.free_slots > 0 and candidate.name not in tried
     ]
-    if not able:
+    if not eligible:
         return None
-    drawn = able if len(able) < 3 else random.sample(able, 2)
+    drawn = eligible if len(eligible) < 3 else random.sample(eligible, 2)
     return min(drawn, key=score)
--- a/src/wardstair/decisions/cold_upstreams.py
+++ b/src/wardstair/decisions/cold_upstreams.py
@@ -1,7 +1,7 @@
-"""Which hosts may send to a cold upstream, and how fast.
+"""Decides which hosts may send to a cold upstream, and at what rate.
 
-A cold upstream bears a bounded rate summed over the fleet. The hosts do not
-talk about each request, so few of them may send to it at all.
+A cold upstream has a rate limit for the sum of all hosts. The hosts do not
+coordinate individual requests, so only a few of them may send to it at all.
 """
 
 from collections.abc import Collection
@@ -9,30 +9,31 @@
 
 from wardstair.decisions.membership import rendezvous
 
-# One host may fail or be cut off; two keep the upstream served.
-SENDERS = 2
-# Views of the fleet that may differ at one time: hosts that see most of their
-# zone, and those that do not. Each chooses senders of its own.
-VIEWS = 2
-# Part of the bound that is used: sends that were spaced a second apart arrive
-# less so, and the bound is on arrivals.
-BOUND_USED = 0.93
-# Part of the known hosts that must be heard for a view to count as whole.
-WHOLE_VIEW = 0.6
-# The fleet's size as a host takes it that cannot know it yet, so that hundreds
-# of hosts which start at once do not each spend what is meant for a few: the
-# largest fleet of the users' plan.
+# Two, so that the upstream is still served if one host fails or is cut off.
+MAX_SENDERS = 2
+# Different views of the fleet that may exist at one time: that of hosts that
+# hear most of their zone, and that of hosts that do not. Each view chooses its
+# own senders.
+CONCURRENT_VIEWS = 2
+# Fraction of the limit that is used. The limit applies to arrivals, and evenly
+# spaced sends arrive with jitter.
+LIMIT_FRACTION_USED = 0.93
+# Fraction of the known hosts that must be heard for a view to be complete.
+COMPLETE_VIEW_FRACTION = 0.6
+# Fleet size that a host assumes until it knows the real one: the largest
+# planned fleet. With a smaller value, hundreds of hosts that start at once
+# would each use a share that is meant for a few.
 UNSETTLED_FLEET_SIZE = 1200
 
 
 @dataclass(frozen=True, slots=True)
 class ColdLimit:
-    """What a cold upstream bears from the whole fleet.
+    """Limit on the requests of the whole fleet to a cold upstream.
 
     Attributes:
-        rate: Requests a second.
-        overshoot: Factor on that rate that is borne.
-        tolerance: Requests above that in one second that are borne.
+        rate: Requests per second.
+        overshoot: Factor by which the rate may be exceeded.
+        tolerance: Further requests allowed in any one second.
     """
 
     rate: float
@@ -41,33 +42,37 @@
 
     @property
     def senders(self) -> int:
-        """Senders that one view may choose.
+        """Number of senders that one view may choose.
 
-        A sender that was idle sends at once, and again after its pause: each
-        may add one request to a second beyond its rate.
+        An idle sender may send immediately and again after its interval, so
+        each sender may exceed its rate by one request in a second.
         """
-        return max(1, min(SENDERS, int(self.tolerance / VIEWS)))
+        return max(1, min(MAX_SENDERS, int(self.tolerance / CONCURRENT_VIEWS)))
 
     @property
     def view_rate(self) -> float:
-        """Requests a second that the senders of one view make together."""
-        return self.rate * self.overshoot / VIEWS * BOUND_USED
+        """Requests per second of all senders of one view together."""
+        return (
+            self.rate * self.overshoot / CONCURRENT_VIEWS * LIMIT_FRACTION_USED
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class HostView:
-    """Whom this host knows and hears.
+    """The entry hosts that this host knows and hears.
 
     Attributes:
-        own: Its own name.
-        zone: Its availability zone.
-        live: Hosts of its zone that it hears, itself included.
-        known: Hosts known in its zone, those not heard and itself included.
-        fleet_size: Hosts known in all zones.
+        own: Name of this host.
+        zone: Availability zone of this host.
+        live: Hosts of the zone that are heard, including this host.
+        known: Hosts known in the zone, including this host and those that are
+            not heard.
+        fleet_size: Number of hosts known in all zones.
         zones: Zones that have entry hosts.
-        is_settled: Whether it has heard others and had time to know all. A
-            host that cannot say so has to take it that there are many.
-        knows_zones: Whether it had time to hear of all zones with hosts.
+        is_settled: Whether this host has heard others and had time to discover
+            all of them. Until then it must assume a large fleet.
+        knows_zones: Whether this host had time to discover all zones that have
+            hosts.
     """
 
     own: str
@@ -81,13 +86,13 @@
 
     @classmethod
     def unsettled(cls, own: str, zone: str) -> 'HostView':
-        """Return the view of a host that has not heard anybody yet."""
+        """Return the view of a host that has not heard any other yet."""
         return cls(own, zone, (own,), (own,), UNSETTLED_FLEET_SIZE)
 
     @property
-    def is_whole(self) -> bool:
-        """Whether it hears most hosts of its zone."""
-        return len(self.live) >= len(self.known) * WHOLE_VIEW
+    def is_complete(self) -> bool:
+        """Whether this host hears most hosts of its zone."""
+        return len(self.live) >= len(self.known) * COMPLETE_VIEW_FRACTION
 
 
 def sender_rate(
@@ -96,25 +101,25 @@
     limit: ColdLimit,
     view: HostView,
 ) -> float:
-    """Return the requests a second that this host may send.
+    """Return the requests per second that this host may send.
 
-    Only hosts of the upstream's own zone send to it: they all hear each other,
-    and are cut off from it last. If that zone has no entry host, one other
-    zone stands in for it. However large the fleet is, only a few hosts send:
-    each that may has a request to spare after a pause, and 195 of them sent
-    195 in the first second.
+    Only hosts of the upstream's own zone send to it: they hear each other and
+    are the last to lose the connection to it. If that zone has no entry host,
+    one other zone takes its place. Only a few hosts send, however large the
+    fleet is, because every idle sender may send one request immediately: with
+    195 senders the upstream received 195 requests in the first second.
 
     Args:
-        upstream: Name of the cold upstream's run.
-        zone: Its availability zone.
-        limit: What it bears.
-        view: Whom this host knows and hears.
+        upstream: Identifies the incarnation of the cold upstream.
+        zone: The upstream's availability zone.
+        limit: The upstream's limit.
+        view: The hosts that this host knows and hears.
     """
     if not view.is_settled or view.zone != _serving_zone(upstream, zone, view):
         return 0.0
-    # A host that is cut off from most cannot tell whom the others have chosen,
-    # but all that are know the same names.
-    hosts = view.live if view.is_whole else view.known
+    # A host that does not hear most others cannot know which senders they have
+    # chosen, but all hosts in that situation know the same names.
+    hosts = view.live if view.is_complete else view.known
     senders = rendezvous(hosts, f'cold {upstream}', limit.senders)
     if view.own not in senders:
         return 0.0
@@ -123,26 +128,27 @@
 
 def _serving_zone(upstream: str, zone: str, view: HostView) -> str:
     if zone == view.zone or zone in view.zones or not view.knows_zones:
-        # One that is not heard of yet probably has hosts of its own.
+        # Also if this host has not discovered all zones yet: the upstream's
+        # zone then probably has entry hosts that it has not heard of.
         return zone
     return rendezvous(view.zones | {view.zone}, f'cold {upstream}', 1)[0]
 
 
 @dataclass(slots=True)
 class SendRateLimiter:
-    """Spaces out sends evenly; nothing is saved up while none are made."""
+    """Spaces sends evenly, without accumulating credit while idle."""
 
     _next_at: float = field(default=0.0)
 
     def is_due(self, now: float) -> bool:
-        """Return whether a send may be made now."""
+        """Return whether a send is allowed now, without counting it."""
         return now >= self._next_at
 
     def take(self, rate: float, now: float) -> bool:
-        """Return whether a send may be made now, and count it.
+        """Return whether a send is allowed now, and count it if so.
 
         Args:
-            rate: Sends a second.
+            rate: Sends per second.
             now: Monotonic time in seconds.
         """
         if rate <= 0 or now < self._next_at:
--- a/src/wardstair/decisions/comparison_groups.py
+++ b/src/wardstair/decisions/comparison_groups.py
@@ -1,23 +1,24 @@
-"""Which upstreams show that it is not this host's way that has failed.
+"""Selects upstreams to compare with one that refuses connections.
 
-A refused connection says that an upstream has ended only if others near it are
-reached: a host that is cut off from a zone, a service or all upstreams is
-refused by all of them.
+A refused connection indicates that the upstream process has exited only if
+this host can connect to comparable upstreams. A host that is cut off from a
+zone, a service or all upstreams gets refusals from all of them.
 """
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-# Enough for one that has just ended as well, or is full.
-MOST_IN_GROUP = 3
+# More than one, because an upstream of the group may have exited too, or may
+# have reached its connection limit.
+MAX_GROUP_SIZE = 3
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLocation:
-    """Where an upstream is.
+    """Service and zone of an upstream.
 
     Attributes:
-        name: Its name.
+        name: Name of the upstream.
         service: Its service.
         zone: Its availability zone.
     """
@@ -28,26 +29,28 @@
 
 
 def find_comparison_groups(
-    one: UpstreamLocation,
+    target: UpstreamLocation,
     others: Iterable[UpstreamLocation],
 ) -> list[Sequence[str]]:
-    """Return the groups of which this host has to reach one upstream each.
+    """Return the comparison groups; one upstream of each must be reachable.
 
     Args:
-        one: The upstream that is not reached.
-        others: All other upstreams that take work.
+        target: The upstream that refuses connections.
+        others: All other upstreams that accept work.
 
     Returns:
-        Names, for its zone and for its service; those of both come first, so
-        that one connection may do for both groups. A group is left out if there
-        is nobody else in it.
+        Names of upstreams in the same zone, and names of upstreams of the same
+        service. Upstreams with both in common come first, so that a single
+        connection can satisfy both groups. A group without members is omitted.
     """
-    near = [other for other in others if other.zone == one.zone]
-    alike = [other for other in others if other.service == one.service]
-    near.sort(key=lambda other: other.service != one.service)
-    alike.sort(key=lambda other: other.zone != one.zone)
+    same_zone = [other for other in others if other.zone == target.zone]
+    same_service = [
+        other for other in others if other.service == target.service
+    ]
+    same_zone.sort(key=lambda other: other.service != target.service)
+    same_service.sort(key=lambda other: other.zone != target.zone)
     return [
-        tuple(other.name for other in group[:MOST_IN_GROUP])
-        for group in (near, alike)
+        tuple(other.name for other in group[:MAX_GROUP_SIZE])
+        for group in (same_zone, same_service)
         if group
     ]
--- a/src/wardstair/decisions/entry_expiry.py
+++ b/src/wardstair/decisions/entry_expiry.py
@@ -1,9 +1,10 @@
-"""Whether entries may have lapsed in the store though their upstreams live.
+"""Decides whether store entries of running upstreams may have expired.
 
-An entry lapses when its upstream is silent for some periods, so also while
-nobody reaches the store; it is back soon after the store is. A host that has
-just got its way to the store back cannot tell by itself whether the store was
-away or it alone was cut off; the contact of others tells.
+An entry expires if its upstream does not renew it for some periods, and so
+also while the store is unreachable for everyone; it returns soon after the
+store does. A host that has just regained contact with the store cannot know
+whether the store was unreachable for all hosts or only for itself. The contact
+periods of other hosts show which of the two happened.
 """
 
 from collections.abc import Iterable
@@ -12,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ContactPeriod:
-    """A time in which a host had contact with the store throughout.
+    """A period of uninterrupted contact of a host with the store.
 
     Attributes:
-        begin: Monotonic time of its first answer, in seconds.
-        end: Monotonic time of the last answer that is known.
+        begin: Monotonic time of the store's first answer, in seconds.
+        end: Monotonic time of its last known answer, in seconds.
     """
 
     begin: float
@@ -25,13 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpiryTimes:
-    """How long entries take to lapse and to return.
+    """How long entries take to expire and to return.
 
     Attributes:
-        harmless_seconds: Time for which the store may be away without any
-            entry lapsing.
-        return_seconds: Time after the store's return within which the entries
-            of upstreams that live are back.
+        harmless_seconds: Longest outage of the store during which no entry
+            expires.
+        return_seconds: Time after the end of an outage within which all
+            running upstreams have entries again.
     """
 
     harmless_seconds: float
@@ -43,11 +44,11 @@
     times: ExpiryTimes,
     now: float,
 ) -> bool:
-    """Return whether one host's contact shows that no entry is lapsed now.
+    """Return whether the contact of any host proves that all entries exist.
 
     Args:
-        contacts: Contact of hosts with the store.
-        times: How long entries take to lapse and to return.
+        contacts: Contact periods of hosts with the store.
+        times: How long entries take to expire and to return.
         now: Monotonic time in seconds.
     """
     return any(
--- a/src/wardstair/decisions/fetches.py
+++ b/src/wardstair/decisions/fetches.py
@@ -1,7 +1,8 @@
-"""Which entry host is asked for what this one lacks, and when another is.
+"""Chooses the entry hosts from which this host fetches missing state.
 
-A host that does not answer costs a wait, not the bound on news: the next one
-that is known to be ahead is asked beside it.
+If a queried host does not answer, another host that is known to be ahead is
+queried in parallel. A host without an answer thus delays the fetch, but does
+not make it exceed the time limit for state updates.
 """
 
 from collections.abc import Collection, Iterable
@@ -12,25 +13,25 @@
     asked: Collection[str],
     most: int,
 ) -> str | None:
-    """Return the name of the host to ask now; None to ask nobody.
+    """Return the name of the host to query now; None for no query.
 
     Args:
-        heard: Hosts that know what is lacked, the one heard last at the end.
-        asked: Hosts that have been asked and have not answered.
-        most: How many may be asked at once.
+        heard: Hosts that have the missing state, most recently heard last.
+        asked: Hosts that have been queried and have not answered.
+        most: Maximum number of parallel queries.
     """
     if len(asked) >= most:
         return None
-    free = [name for name in heard if name not in asked]
-    return free[-1] if free else None
+    idle = [name for name in heard if name not in asked]
+    return idle[-1] if idle else None
 
 
 def is_any_overdue(late_at: Iterable[float], now: float) -> bool:
-    """Return whether a host that was asked should have answered by now.
+    """Return whether a queried host should have answered by now.
 
     Args:
-        late_at: When each host that has not answered is late; monotonic times
-            in seconds.
-        now: The same clock.
+        late_at: Monotonic times in seconds at which the answers of the hosts
+            that have not answered become overdue.
+        now: Monotonic time in seconds.
     """
     return any(late <= now for late in late_at)
--- a/src/wardstair/decisions/forecast.py
+++ b/src/wardstair/decisions/forecast.py
@@ -1,20 +1,21 @@
-"""What a planned stop or shift would do, before it is ordered."""
+"""Forecasts the effect of a planned drain or shift on the regions' load."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-SAFE_SHARE = 0.9
+# Highest share of the remaining slots in use at which a plan counts as safe.
+SAFE_UTILIZATION = 0.9
 
 
 @dataclass(frozen=True)
 class ZoneLoad:
-    """Use of one workload in one zone.
+    """Slots of one workload in one zone.
 
     Attributes:
-        zone: Its name.
-        region: Its region.
-        slots: Slots of its upstreams.
-        in_use: Slots in use now.
+        zone: Name of the zone.
+        region: Region of the zone.
+        slots: Slots of the workload's upstreams in the zone.
+        in_use: Number of them in use now.
     """
 
     zone: str
@@ -25,13 +26,13 @@
 
 @dataclass(frozen=True)
 class Forecast:
-    """What would remain for one workload in one region.
+    """Slots that would remain for one workload in one region.
 
     Attributes:
-        workload: Its name.
-        region: The region.
+        workload: Name of the workload.
+        region: Name of the region.
         slots_left: Slots that would remain.
-        needed: Slots in use now in the region.
+        needed: Slots that would be in use.
     """
 
     workload: str
@@ -41,38 +42,38 @@
 
     @property
     def is_safe(self) -> bool:
-        """Whether the rest would carry it with something to spare.
+        """Whether the remaining slots would carry the load with a margin.
 
-        A region without any slot is never safe, even if it is idle now.
+        A region without slots is never safe, even if it is idle now.
         """
-        has_room = self.needed <= self.slots_left * SAFE_SHARE
-        return self.slots_left > 0 and has_room
+        has_capacity = self.needed <= self.slots_left * SAFE_UTILIZATION
+        return self.slots_left > 0 and has_capacity
 
 
 def forecast_drain(
     loads: Mapping[str, Iterable[ZoneLoad]],
     drained: Mapping[tuple[str, str], int],
 ) -> list[Forecast]:
-    """Forecast the regions after a drain.
+    """Return forecasts for the regions that a drain affects.
 
     Args:
-        loads: Use by workload.
-        drained: Slots that the drain takes away, by workload and zone.
+        loads: Slots and their use by zone, for each workload.
+        drained: Slots that the drain removes, by workload and zone.
     """
     forecasts: list[Forecast] = []
     for workload, zones in loads.items():
         left: dict[str, int] = {}
         needed: dict[str, int] = {}
-        touched: set[str] = set()
+        affected: set[str] = set()
         for load in zones:
-            gone = drained.get((workload, load.zone), 0)
-            if gone:
-                touched.add(load.region)
-            left[load.region] = left.get(load.region, 0) + load.slots - gone
+            removed = drained.get((workload, load.zone), 0)
+            if removed:
+                affected.add(load.region)
+            left[load.region] = left.get(load.region, 0) + load.slots - removed
             needed[load.region] = needed.get(load.region, 0) + load.in_use
         forecasts.extend(
             Forecast(workload, region, left[region], needed[region])
-            for region in sorted(touched)
+            for region in sorted(affected)
         )
     return forecasts
 
@@ -83,15 +84,15 @@
     target: str,
     cap: int,
 ) -> list[Forecast]:
-    """Forecast the target region of a shift that reaches its cap.
+    """Return the forecast for the target region of a shift at its cap.
 
     Args:
-        loads: Use of the workload in all zones.
-        workload: Its name.
-        target: Region that traffic moves to.
-        cap: Requests in flight that the shift may bring.
+        loads: Slots of the workload and their use in all zones.
+        workload: Name of the workload.
+        target: Region that receives the traffic.
+        cap: Maximum number of requests in flight that the shift may add.
     """
-    there = [load for load in loads if load.region == target]
-    slots = sum(load.slots for load in there)
-    in_use = sum(load.in_use for load in there)
+    in_target = [load for load in loads if load.region == target]
+    slots = sum(load.slots for load in in_target)
+    in_use = sum(load.in_use for load in in_target)
     return [Forecast(workload, target, slots, in_use + cap)]
--- a/src/wardstair/decisions/health.py
+++ b/src/wardstair/decisions/health.py
@@ -1,16 +1,16 @@
-"""Whether an upstream gets new work: signs of leaving, and failures."""
+"""Decides whether an upstream gets new work, by notices and failures."""
 
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
 LEAVING_SECONDS = 60.0
 FAILURES_TO_EJECT = 3
-EJECT_FIRST_SECONDS = 1.0
-EJECT_MOST_SECONDS = 30.0
+FIRST_EJECTION_SECONDS = 1.0
+MAX_EJECTION_SECONDS = 30.0
 
 
 class LeavingSign(StrEnum):
-    """Who said that an upstream is leaving."""
+    """Source of the information that an upstream is leaving."""
 
     operator = 'operator'
     platform = 'platform'
@@ -19,14 +19,15 @@
 
 @dataclass(frozen=True)
 class UpstreamHealth:
-    """What one host knows about the readiness of an upstream.
+    """Whether an upstream may get new work, as known to one host.
 
     Attributes:
-        is_drained: Whether an operator's order stops new work.
-        leaving_until: Time until which another sign of leaving holds.
-        failures: Failed attempts in a row.
-        ejected_until: Time until which failures keep work away.
-        in_service_since: Time when it last came (back) into service.
+        is_drained: Whether an operator has drained it.
+        leaving_until: Monotonic time in seconds until which it counts as
+            leaving, by notices other than the operator's.
+        failures: Consecutive failed attempts.
+        ejected_until: Time until which it is ejected for failures.
+        in_service_since: Time when it last entered or re-entered service.
     """
 
     is_drained: bool = False
@@ -43,10 +44,11 @@
 
 
 def record_leaving(health: UpstreamHealth, now: float) -> UpstreamHealth:
-    """Note a sign of leaving that does not come from the operator.
+    """Record a leaving notice that does not come from the operator.
 
-    It holds for a stated time after the last sign; its absence in a later
-    report does not end it, since reports lag and mislead.
+    The upstream counts as leaving for `LEAVING_SECONDS` after the last notice.
+    A later report without the notice does not end this earlier, because
+    reports may be late or wrong.
     """
     until = now + LEAVING_SECONDS
     return replace(health, leaving_until=until, in_service_since=until)
@@ -58,7 +60,7 @@
     *,
     is_drained: bool,
 ) -> UpstreamHealth:
-    """Apply the operator's order; its end clears the other signs too."""
+    """Apply an operator's drain; ending it also clears notices and failures."""
     if is_drained == health.is_drained:
         return health
     if is_drained:
@@ -67,12 +69,16 @@
 
 
 def record_failure(health: UpstreamHealth, now: float) -> UpstreamHealth:
-    """Count a failed attempt; eject after some in a row, ever longer."""
+    """Count a failed attempt, and eject the upstream if there are too many.
+
+    Ejection starts at `FAILURES_TO_EJECT` consecutive failures; each further
+    one doubles its duration.
+    """
     failures = health.failures + 1
     excess = failures - FAILURES_TO_EJECT
     if excess < 0:
         return replace(health, failures=failures)
-    seconds = min(EJECT_FIRST_SECONDS * 2**excess, EJECT_MOST_SECONDS)
+    seconds = min(FIRST_EJECTION_SECONDS * 2**excess, MAX_EJECTION_SECONDS)
     until = now + seconds
     return replace(
         health,
@@ -83,7 +89,7 @@
 
 
 def record_success(health: UpstreamHealth) -> UpstreamHealth:
-    """Forget failures after a whole answer."""
+    """Reset the count of failures after a complete answer."""
     if not health.failures:
         return health
     return replace(health, failures=0)
--- a/src/wardstair/decisions/ledger.py
+++ b/src/wardstair/decisions/ledger.py
@@ -1,14 +1,15 @@
-"""Tokens of one capacity, shared by hosts without ever being doubled.
-
-A capacity of N, such as the slots of an upstream or the cap of a shift, is N
-numbered tokens. Each has one owner. Owners lend idle tokens; a loan ends when
-it is returned, when its time is over, or when its borrower is proved dead.
-Nothing here depends on two hosts agreeing at one moment: an owner that is cut
-off keeps its tokens and goes on, and nobody else may use them meanwhile.
-
-Times are monotonic seconds of the host that keeps the ledger. The borrower
-counts a loan from before it asked, the lender from when it granted, so the
-borrower always stops first.
+"""Ledger of the tokens of one capacity, which hosts share.
+
+No token is ever used twice at one time. A capacity of N, such as the slots of
+an upstream or the cap of a shift, consists of N numbered tokens. Each token has
+one owner. Owners lend idle tokens; a loan ends when it is returned, when it
+expires, or when the borrower is known to be dead. Nothing here requires two
+hosts to agree at one moment: an owner that is cut off keeps its tokens and
+continues to use them, and no other host may use them meanwhile.
+
+All times are monotonic seconds of the host that keeps the ledger. The borrower
+counts the duration of a loan from before it sent its request, the lender from
+the grant, so the borrower always stops first.
 """
 
 from collections.abc import Iterable, Mapping
@@ -17,31 +18,34 @@
 
 CLOCK_MARGIN_SECONDS = 1.0
 LOAN_SECONDS = 5.0
-DOUBT_SECONDS = LOAN_SECONDS + CLOCK_MARGIN_SECONDS
+# Age of a loan without expiry after which the borrower is asked whether it
+# still holds the tokens.
+LOAN_QUERY_SECONDS = LOAN_SECONDS + CLOCK_MARGIN_SECONDS
 
 
 def settle_seconds(hold_seconds: float) -> float:
-    """Return how long a new owner of a token waits before it uses it.
+    """Return the seconds that a new owner waits before it uses a token.
 
-    The old owner may have lent it just before it died, and the borrower may
-    have started work at the last moment: the longest grant is waited out.
+    The previous owner may have lent the token just before it died, and the
+    borrower may have started work just before the loan expired. The new owner
+    waits until that work must have ended.
 
     Args:
-        hold_seconds: Most seconds that work holds the token.
+        hold_seconds: Longest time in seconds for which work holds the token.
     """
     return LOAN_SECONDS + hold_seconds + CLOCK_MARGIN_SECONDS
 
 
 @dataclass(frozen=True)
 class Identity:
-    """One incarnation of one host."""
+    """One incarnation of a host."""
 
     name: str
     incarnation: str
 
 
 class OwnedStatus(Enum):
-    """The standings of a token without further data."""
+    """States of an owned token that carry no further data."""
 
     idle = 'idle'
     busy = 'busy'
@@ -49,14 +53,14 @@
 
 @dataclass(frozen=True)
 class Lent:
-    """The token is with a borrower.
+    """State of an owned token that is lent.
 
     Attributes:
-        borrower: Who holds it.
+        borrower: The host that holds it.
         loan: Identifies the loan.
         granted_at: Time of the grant.
-        reclaim_at: Time when it is free again without a return; None if
-            the borrower may hold it for any time.
+        reclaim_at: Time when the token is idle again even if it is not
+            returned; None if the borrower may hold it without limit.
     """
 
     borrower: Identity
@@ -67,7 +71,11 @@
 
 @dataclass(frozen=True)
 class Settling:
-    """A predecessor's work may still use the token until then."""
+    """State of an owned token that work of an earlier holder may still use.
+
+    Attributes:
+        until: Time when that work has ended; infinity if it is not known.
+    """
 
     until: float
 
@@ -77,13 +85,13 @@
 
 @dataclass
 class Borrowed:
-    """A token from another owner.
+    """A token on loan from another host.
 
     Attributes:
-        lender: Its owner.
+        lender: The owner of the token.
         loan: Identifies the loan.
-        start_by: Work may start on it before this time only.
-        is_busy: Whether work runs on it now.
+        start_by: Time before which work must start on it.
+        is_busy: Whether work uses it now.
     """
 
     lender: Identity
@@ -97,8 +105,8 @@
     """A token taken for one piece of work.
 
     Attributes:
-        token: Its number.
-        send_by: Work must not start after this time; None without limit.
+        token: Number of the token.
+        send_by: Time after which the work must not start; None for no limit.
     """
 
     token: int
@@ -107,13 +115,13 @@
 
 @dataclass(frozen=True)
 class LoanOffer:
-    """Tokens that an owner lends.
+    """Tokens that an owner offers on loan.
 
     Attributes:
         loan: Identifies the loan.
-        tokens: Their numbers.
-        seconds: Seconds, from before the borrower asked, in which work may
-            start on them.
+        tokens: Numbers of the tokens.
+        seconds: Time in seconds in which work may start on them, counted from
+            just before the borrower sent its request.
     """
 
     loan: str
@@ -123,11 +131,11 @@
 
 @dataclass(frozen=True)
 class Holding:
-    """A token that a borrower still holds of an earlier owner.
+    """A borrowed token that a host still holds.
 
     Attributes:
-        token: Its number.
-        loan: The loan by which it came.
+        token: Number of the token.
+        loan: Identifies the loan.
     """
 
     token: int
@@ -136,7 +144,13 @@
 
 @dataclass(frozen=True)
 class LoanReturn:
-    """Tokens that a borrower gives back."""
+    """Tokens that a borrower returns.
+
+    Attributes:
+        lender: The owner of the tokens.
+        loan: Identifies the loan.
+        tokens: Numbers of the tokens.
+    """
 
     lender: Identity
     loan: str
@@ -145,12 +159,12 @@
 
 @dataclass(frozen=True)
 class PendingLoanRequest:
-    """A question that waits for a token to come free.
+    """A loan request that waits until a token becomes idle.
 
     Attributes:
-        borrower: Who asks.
-        ask: Identifies the question.
-        waiting: Requests that wait at the borrower.
+        borrower: The host that sent the request.
+        ask: Identifies the loan request.
+        waiting: Number of requests that wait for a slot at the borrower.
         until: Time after which the borrower no longer waits.
     """
 
@@ -161,36 +175,42 @@
 
 
 def choose_loan_request(
-    asks: Iterable[PendingLoanRequest],
+    loan_requests: Iterable[PendingLoanRequest],
     own_waiting: int,
     now: float,
 ) -> PendingLoanRequest | None:
-    """Return the question that a token coming free should answer.
+    """Return the loan request that should get a token that became idle.
 
-    The longer queue gets it, whichever host it is on: a host that served its
-    own first would let the queue of a busier one grow to its limit.
+    The host with the longest queue gets the token. If the owner always served
+    its own queue first, the queue of a busier host would grow to its limit.
 
     Args:
-        asks: Questions that wait.
-        own_waiting: Requests that wait at the owner itself.
-        now: Time now.
+        loan_requests: Pending loan requests.
+        own_waiting: Number of requests that wait for a slot at the owner.
+        now: Current time.
+
+    Returns:
+        The loan request; None if no queue is longer than the owner's.
     """
     longer = [
-        ask for ask in asks if ask.until > now and ask.waiting > own_waiting
+        one
+        for one in loan_requests
+        if one.until > now and one.waiting > own_waiting
     ]
-    return max(longer, key=lambda ask: ask.waiting, default=None)
+    return max(longer, key=lambda one: one.waiting, default=None)
 
 
 @dataclass
 class Ledger:
-    """What one host knows of the tokens of one capacity.
+    """The tokens of one capacity that one host owns or has borrowed.
 
     Attributes:
-        hold_seconds: Most seconds that work holds a token, or None.
-        owned: Owned tokens and how they stand.
-        borrowed: Tokens on loan from others.
-        retired: Owned tokens that no longer exist; work on them ends in
-            peace, nothing new starts.
+        hold_seconds: Longest time in seconds for which work holds a token;
+            None for no limit.
+        owned: States of the owned tokens.
+        borrowed: Tokens on loan from other hosts.
+        retired: Owned tokens that have been removed from the capacity. Work
+            that uses them continues; no new work starts on them.
     """
 
     hold_seconds: float | None
@@ -200,13 +220,13 @@
 
     @property
     def in_use(self) -> int:
-        """Tokens that work of this host uses now."""
+        """Number of tokens that work of this host uses now."""
         owned = sum(state is OwnedStatus.busy for state in self.owned.values())
         return owned + sum(loan.is_busy for loan in self.borrowed.values())
 
     @property
     def idle_owned(self) -> list[int]:
-        """Owned tokens that could be used or lent now."""
+        """Owned tokens that can be used or lent now."""
         return [
             token
             for token, state in self.owned.items()
@@ -214,7 +234,7 @@
         ]
 
     def available(self, now: float) -> int:
-        """Return how many tokens work could start on now."""
+        """Return the number of tokens on which work can start now."""
         self._refresh_owned(now)
         borrowed = sum(
             not loan.is_busy and now < loan.start_by
@@ -223,14 +243,14 @@
         return len(self.idle_owned) + borrowed
 
     def adopt(self, token: int, now: float, settle: float) -> None:
-        """Become the owner of a token, or keep one that was retired.
+        """Become the owner of a token, or reinstate one that was retired.
 
         Args:
-            token: Its number.
-            now: Time now.
-            settle: Seconds in which a predecessor's work may still run; 0
-                for a token that had no owner before; infinity if only
-                `resolve` can tell.
+            token: Number of the token.
+            now: Current time.
+            settle: Seconds for which work of an earlier owner may still run; 0
+                if the token had no owner before; infinity if the time is
+                unknown until `resolve` is called.
         """
         self.retired.discard(token)
         if token in self.owned:
@@ -240,10 +260,10 @@
 
     @property
     def unresolved(self) -> list[int]:
-        """Owned tokens of which it is not known who may still use them.
+        """Owned tokens that other hosts may still use, for an unknown time.
 
-        Work of any length may run on a loan of an earlier owner: only the
-        answers of all others can tell.
+        Work without a time limit may run on loans of an earlier owner. Only
+        the answers of all other hosts show which tokens they hold.
         """
         return [
             token
@@ -252,22 +272,23 @@
         ]
 
     def holdings(self) -> tuple[Holding, ...]:
-        """Return the tokens on loan here, used or not."""
+        """Return the tokens that this host has borrowed, busy or idle."""
         return tuple(
             Holding(token, loan.loan) for token, loan in self.borrowed.items()
         )
 
     def borrowers_to_query(self, now: float) -> set[Identity]:
-        """Return who to ask about loans that no time ends.
+        """Return the borrowers to query about loans that never expire.
 
-        A lost offer or return would keep such a token away for ever.
+        Without the query, a lost offer or return message would make such a
+        token unusable for ever.
         """
         return {
             state.borrower
             for state in self.owned.values()
             if isinstance(state, Lent)
             and state.reclaim_at is None
-            and now - state.granted_at > DOUBT_SECONDS
+            and now - state.granted_at > LOAN_QUERY_SECONDS
         }
 
     def reconcile(
@@ -276,14 +297,15 @@
         holdings: tuple[Holding, ...],
         asked_at: float,
     ) -> None:
-        """Take back what a borrower says that it does not hold.
+        """Reclaim lent tokens that a borrower reports not to hold.
 
         Args:
-            borrower: Who answered.
-            holdings: All that it holds; when it was asked it withdrew its
-                open questions, so no earlier offer can reach it any more.
-            asked_at: Time when the question was sent; loans granted later
-                are not covered by the answer.
+            borrower: The host that answered the query.
+            holdings: All tokens that it holds. Before it answered, it withdrew
+                its open loan requests, so it accepts no earlier offer any
+                more.
+            asked_at: Time when the query was sent. The answer does not cover
+                loans granted later.
         """
         held = {(one.token, one.loan) for one in holdings}
         for token, state in self.owned.items():
@@ -301,13 +323,13 @@
         now: float,
         settle: float,
     ) -> None:
-        """Take in what all others hold, once every one has answered.
+        """Set the states of unresolved tokens after all hosts have answered.
 
         Args:
-            held: What each other host of the zone holds.
-            now: Time now.
-            settle: Seconds in which upstreams may still work for a dead
-                predecessor.
+            held: Tokens that each other host of the zone holds.
+            now: Current time.
+            settle: Seconds for which upstreams may still run work of an
+                earlier owner that died.
         """
         unresolved = self.unresolved
         for token in unresolved:
@@ -319,10 +341,10 @@
                     self.owned[one.token] = lent
 
     def disown(self, token: int) -> bool:
-        """Stop owning a token so that another may own it.
+        """Give up ownership of a token, so that another host may own it.
 
         Returns:
-            False if it is in use or lent; then it stays.
+            False if the token is not idle; it then remains owned.
         """
         if self.owned.get(token) is not OwnedStatus.idle:
             return False
@@ -331,15 +353,18 @@
         return True
 
     def retire(self, token: int) -> None:
-        """Start no more work on a token that no longer exists."""
+        """Start no new work on a token that was removed from the capacity."""
         if token in self.owned:
             self.retired.add(token)
 
     def take(self, now: float) -> Slot | None:
-        """Take a token for one piece of work, or return None.
+        """Take a token for one piece of work.
+
+        Borrowed tokens are used first: an idle borrowed token is wasted,
+        whereas an idle owned token can be lent.
 
-        Borrowed tokens go first: an idle loan is wasted, an idle owned
-        token can be lent.
+        Returns:
+            The slot; None if no token is available.
         """
         self._refresh_owned(now)
         for token, loan in self.borrowed.items():
@@ -359,17 +384,18 @@
         *,
         keeps_loans: bool = False,
     ) -> LoanReturn | None:
-        """End the work on a token.
+        """Release a token after its work has ended.
 
         Args:
-            token: Its number.
-            now: Time now.
-            keeps_loans: Whether other work waits here; without any, a loan
-                that is kept would stand idle while its owner's queue grows.
+            token: Number of the token.
+            now: Current time.
+            keeps_loans: Whether to keep a borrowed token for other work that
+                waits here. Without such work, a kept loan would stay idle
+                while the queue of its owner grows.
 
         Returns:
-            A message to the lender if the token was borrowed and its time
-            is over, or nothing waits for it here.
+            The return to send to the lender, if the token was borrowed and
+            either the loan has expired or it is not kept.
         """
         loan = self.borrowed.get(token)
         if loan is not None and loan.is_busy:
@@ -389,16 +415,19 @@
         loan: str,
         now: float,
     ) -> LoanOffer | None:
-        """Lend idle tokens, at most half of them but one at least.
+        """Lend up to half of the idle tokens, but at least one if any is idle.
 
-        Half leaves the owner something for its own next request, so that
-        two busy hosts do not pass the same token to and fro.
+        The other half remains for the owner's next requests, so that two busy
+        hosts do not keep passing the same token back and forth.
 
         Args:
-            borrower: Who asks.
-            wanted: Most tokens it can use.
-            loan: Identifies the new loan; never used before.
-            now: Time now.
+            borrower: The host that requests the loan.
+            wanted: Maximum number of tokens that it can use.
+            loan: Identifies the new loan; must be unique.
+            now: Current time.
+
+        Returns:
+            The offer; None if there is nothing to lend.
         """
         self._refresh_owned(now)
         idle = self.idle_owned
@@ -418,31 +447,31 @@
         offer: LoanOffer,
         asked_at: float,
     ) -> None:
-        """Note tokens on loan.
+        """Record tokens borrowed from another host.
 
         Args:
-            lender: Who lends them.
-            offer: The offer; the caller sees to it that it answers a
-                question of ours that no offer has answered yet.
-            asked_at: Time just before the question was sent.
+            lender: The owner of the tokens.
+            offer: The offer. The caller must ensure that it answers a loan
+                request of this host that no other offer has answered.
+            asked_at: Time just before the loan request was sent.
         """
         for token in offer.tokens:
             if token in self.borrowed:
-                # The old loan still runs work here: the new one of the same
-                # token ends unused, and its lender reclaims it in time.
+                # Work still uses the token by an earlier loan. The new loan
+                # stays unused, and the lender reclaims it when it expires.
                 continue
             start_by = asked_at + offer.seconds
             self.borrowed[token] = Borrowed(lender, offer.loan, start_by)
 
     def reclaim(self, loan: str, tokens: tuple[int, ...]) -> None:
-        """Take returned tokens back; late and double returns do nothing."""
+        """Take returned tokens back; ignore late and duplicate returns."""
         for token in tokens:
             state = self.owned.get(token)
             if isinstance(state, Lent) and state.loan == loan:
                 self.owned[token] = OwnedStatus.idle
 
     def return_idle_loans(self) -> list[LoanReturn]:
-        """Give all unused loans back, as a host that leaves does."""
+        """Return all idle borrowed tokens, as a host that leaves must do."""
         return self._return_loans(float('inf'))
 
     def forget_borrower(
@@ -451,22 +480,22 @@
         now: float,
         settle: float,
     ) -> None:
-        """Reclaim what a borrower held that is proved dead.
+        """Reclaim the tokens lent to a borrower that is known to be dead.
 
         Args:
             borrower: The dead incarnation.
-            now: Time now.
-            settle: Seconds in which upstreams may still work for it.
+            now: Current time.
+            settle: Seconds for which upstreams may still run its work.
         """
         for token, state in self.owned.items():
             if isinstance(state, Lent) and state.borrower == borrower:
                 self.owned[token] = Settling(now + settle)
 
     def expire(self, now: float) -> list[LoanReturn]:
-        """Apply the passing of time.
+        """End settling periods and loans whose time has passed.
 
         Returns:
-            Messages that hand back loans which ended unused.
+            Returns to send to the lenders of idle tokens whose loans expired.
         """
         self._refresh_owned(now)
         return self._return_loans(now)
--- a/src/wardstair/decisions/locality.py
+++ b/src/wardstair/decisions/locality.py
@@ -1,9 +1,10 @@
-"""How many of a region's keys have their home in the region itself.
+"""Decides how many keys of a region have preferred upstreams in that region.
 
-A home nearby saves the way between regions, but regions differ in upstreams:
-one with a third of the callers may have a tenth of the slots. Each region
-keeps what its slots carry beside what the other regions send it; the rest
-falls on all others by rank.
+A preferred upstream in the caller's own region saves a hop between regions,
+but capacity differs: a region with a third of the callers may have a tenth of
+the slots. Each region keeps as many keys as its slots can carry in addition to
+the load that other regions send it. The other keys go to upstreams of the
+other regions by the key ranking.
 """
 
 from collections.abc import Mapping
@@ -12,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionShare:
-    """A region's part in a service.
+    """A region's share of a service.
 
     Attributes:
-        slots: Its part of the slots that may serve the request, 0 to 1.
-        callers: Its part of the callers, 0 to 1.
+        slots: Share of the slots that may serve the request, 0 to 1.
+        callers: Share of the callers, 0 to 1.
     """
 
     slots: float
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalityTarget:
-    """How many of its keys a region keeps.
+    """How many of its keys a region should keep.
 
     Attributes:
         max_kept: Largest share of the keys, 0 to 1. Below 1 because load moves
@@ -39,39 +40,41 @@
 
 
 def local_weight_factor(
-    parts: Mapping[str, RegionShare],
+    shares: Mapping[str, RegionShare],
     region: str,
-    wanted: LocalityTarget,
+    target: LocalityTarget,
 ) -> float:
-    """Return the factor on the weight of a region's own upstreams.
+    """Return the factor on the weights of a region's own upstreams.
 
-    With it, the region's callers have the wanted part of their keys' homes
-    among the region's own upstreams.
+    With these weights, the target share of the keys of the region's callers
+    have their preferred upstream in the region.
 
     Args:
-        parts: All regions by name.
-        region: The region.
-        wanted: How many keys are to be kept.
+        shares: The shares of all regions by name.
+        region: Name of the region.
+        target: How many keys the region should keep.
     """
-    own = parts[region]
-    far_slots = 1 - own.slots
-    if own.slots <= 0 or far_slots <= 0 or own.callers <= 0:
+    own = shares[region]
+    remote_slots = 1 - own.slots
+    if own.slots <= 0 or remote_slots <= 0 or own.callers <= 0:
         return 1.0
-    sent_here = sum(
-        _sent(part, own, wanted)
-        for name, part in parts.items()
+    received = sum(
+        _sent_load(share, own, target)
+        for name, share in shares.items()
         if name != region
     )
-    carried = max(0.0, own.slots * wanted.max_relative_load - sent_here)
-    kept = min(wanted.max_kept, carried / own.callers)
-    return max(1.0, kept / (1 - kept) * far_slots / own.slots)
+    capacity_left = max(0.0, own.slots * target.max_relative_load - received)
+    kept = min(target.max_kept, capacity_left / own.callers)
+    return max(1.0, kept / (1 - kept) * remote_slots / own.slots)
 
 
-def _sent(part: RegionShare, to: RegionShare, wanted: LocalityTarget) -> float:
-    """Return the part of all work that one region sends to another."""
-    if part.callers <= 0 or part.slots >= 1:
+def _sent_load(
+    share: RegionShare, to: RegionShare, target: LocalityTarget
+) -> float:
+    """Return the share of the total load that one region sends to another."""
+    if share.callers <= 0 or share.slots >= 1:
         return 0.0
     kept = min(
-        wanted.max_kept, part.slots * wanted.max_relative_load / part.callers
+        target.max_kept, share.slots * target.max_relative_load / share.callers
     )
-    return (1 - kept) * part.callers * to.slots / (1 - part.slots)
+    return (1 - kept) * share.callers * to.slots / (1 - share.slots)
--- a/src/wardstair/decisions/peer_forwarding.py
+++ b/src/wardstair/decisions/peer_forwarding.py
@@ -1,4 +1,4 @@
-"""Which entry host takes a request that this one cannot send to an upstream."""
+"""Chooses the peer for a request that this host cannot send to an upstream."""
 
 from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass
@@ -6,22 +6,23 @@
 
 from wardstair.decisions.reach import ALL
 
-# Hosts that are compared by load; more would all choose the same one.
-COMPARED = 2
+# Peers that are drawn at random and compared by load. If all hosts compared
+# many peers, they would all choose the same peer.
+DRAWN_PEERS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class PeerCandidate:
-    """Another entry host that could take a request.
+    """Another entry host to which a request could be forwarded.
 
     Attributes:
-        name: Its name.
+        name: Name of the host.
         zone: Its availability zone.
-        lost: Groups of upstreams that it says it does not reach.
-        is_heard: Whether its own heartbeats say so; otherwise somebody named
-            it, and nothing is known of it.
-        is_busy: Whether it says that it is short of processor time.
-        load: Requests a second for each of its processor cores.
+        lost: Groups of upstreams that it reports as unreachable.
+        is_heard: Whether this host receives its heartbeats. Otherwise only its
+            name is known, from another host.
+        is_busy: Whether it reports that it is short of processor time.
+        load: Requests per second and processor core.
     """
 
     name: str
@@ -34,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerRequirements:
-    """What help is wanted for.
+    """What a peer must fulfil to take a request.
 
     Attributes:
         region: Region of this host.
-        required_groups: Groups of upstreams that have to be reached.
+        required_groups: Groups of upstreams that the peer must reach.
         permitted_regions: The only regions that may get the request; empty
             for all.
-        tried: Names of hosts that were asked before.
+        tried: Names of hosts that must not be chosen again.
     """
 
     region: str
@@ -51,47 +52,49 @@
 
 
 def choose_peer(
-    helpers: Sequence[PeerCandidate],
+    peers: Sequence[PeerCandidate],
     requirements: PeerRequirements,
     regions: Mapping[str, str],
     random: Random,
 ) -> PeerCandidate | None:
-    """Return the host that takes a request, or None if there is none.
+    """Return the peer to which a request is forwarded; None if there is none.
 
-    Hosts that are heard come first, then those that have lost nothing, those of
-    the own region, and those that are not busy. Of two of the best drawn at
-    random the one with less load takes it.
+    Prefers peers that are heard, then those that reach all groups, those of
+    the same region and those that are not busy. Of two of the best peers drawn
+    at random, the one with the lower load is chosen.
 
     Args:
-        helpers: All other hosts.
-        requirements: What is wanted.
+        peers: All other hosts.
+        requirements: What the peer must fulfil.
         regions: Region of each zone.
-        random: Source of the draw.
+        random: Source of randomness.
     """
-    able = [one for one in helpers if _is_able(one, requirements, regions)]
-    if not able:
+    eligible = [
+        peer for peer in peers if _is_eligible(peer, requirements, regions)
+    ]
+    if not eligible:
         return None
 
-    def distance(one: PeerCandidate) -> tuple[bool, bool, bool, bool]:
-        is_far = regions.get(one.zone) != requirements.region
-        return (not one.is_heard, bool(one.lost), is_far, one.is_busy)
+    def preference(peer: PeerCandidate) -> tuple[bool, bool, bool, bool]:
+        is_far = regions.get(peer.zone) != requirements.region
+        return (not peer.is_heard, bool(peer.lost), is_far, peer.is_busy)
 
-    nearest = min(map(distance, able))
-    best = [one for one in able if distance(one) == nearest]
-    drawn = random.sample(best, min(COMPARED, len(best)))
-    return min(drawn, key=lambda one: one.load)
+    best_preference = min(map(preference, eligible))
+    best = [peer for peer in eligible if preference(peer) == best_preference]
+    drawn = random.sample(best, min(DRAWN_PEERS, len(best)))
+    return min(drawn, key=lambda peer: peer.load)
 
 
-def _is_able(
-    one: PeerCandidate,
+def _is_eligible(
+    peer: PeerCandidate,
     requirements: PeerRequirements,
     regions: Mapping[str, str],
 ) -> bool:
-    if one.name in requirements.tried or ALL in one.lost:
+    if peer.name in requirements.tried or ALL in peer.lost:
         return False
     if (
         requirements.permitted_regions
-        and regions.get(one.zone) not in requirements.permitted_regions
+        and regions.get(peer.zone) not in requirements.permitted_regions
     ):
         return False
-    return not requirements.required_groups.intersection(one.lost)
+    return not requirements.required_groups.intersection(peer.lost)
--- a/src/wardstair/decisions/permitted_regions.py
+++ b/src/wardstair/decisions/permitted_regions.py
@@ -1,4 +1,4 @@
-"""Regions that may serve a request, by its route and its organisation."""
+"""Determines the regions that may serve a request."""
 
 from wardstair.version.organisations import Organisation
 from wardstair.version.steering import SteeredRoute
@@ -11,16 +11,18 @@
     route: SteeredRoute,
     organisation: Organisation | None,
 ) -> frozenset[str]:
-    """Return the only regions that may serve a request; empty for all.
+    """Return the regions that may serve a request; an empty set for all.
 
-    If both the route and the organisation restrict regions, both apply.
+    If both the route and the organisation restrict regions, both restrictions
+    apply.
 
     Args:
         route: The request's route.
-        organisation: The organisation that makes it; None if unknown.
+        organisation: The organisation that makes the request; None if unknown.
 
     Returns:
-        The regions, or `NO_REGION` if the two have none in common.
+        The permitted regions, or `NO_REGION` if the two restrictions have none
+        in common.
     """
     if organisation is None or not organisation.regions:
         return route.regions
--- a/src/wardstair/decisions/processor_pressure.py
+++ b/src/wardstair/decisions/processor_pressure.py
@@ -1,40 +1,43 @@
-"""Whether a process is short of processor time, from how late its timers are.
+"""Detects from late timers that a process is short of processor time.
 
-What a host may use of a core, and what the core is worth, differ from one to
-another and change while it runs; the lateness of timers tells what is left.
+The share of a core that a host may use, and the speed of that core, differ
+between hosts and change at run time. Timer lateness measures the shortage
+without knowing either.
 """
 
 from dataclasses import dataclass
 
-# Lateness from which on callers notice: a request passes the event loop some
-# five times.
+# Mean lateness from which a process counts as busy. A request passes through
+# the event loop about five times, so callers notice five times this delay.
 BUSY_LATENESS_SECONDS = 0.03
-# How fast the average follows, a look each half second.
-_SHARE = 0.3
-# Kept for this long, so that traffic does not swing to and fro.
+# Weight of a new sample in the moving average; there are two samples a second.
+_SAMPLE_WEIGHT = 0.3
+# A process counts as busy for at least this long, so that traffic does not
+# oscillate between hosts.
 HOLD_SECONDS = 8.0
 
 
 @dataclass(slots=True)
 class ProcessorPressure:
-    """Lateness of a process's timers, averaged.
+    """Moving average of how late a process's timers fire.
 
     Attributes:
         lateness: Mean lateness in seconds.
-        busy_until: Monotonic time until which it counts as busy.
+        busy_until: Monotonic time in seconds until which the process counts
+            as busy.
     """
 
     lateness: float = 0.0
     busy_until: float = float('-inf')
 
     def note(self, lateness: float, now: float) -> bool:
-        """Take in how late a timer was; return whether the process is busy.
+        """Record a timer's lateness and return whether the process is busy.
 
         Args:
-            lateness: Seconds.
+            lateness: Seconds by which the timer fired late.
             now: Monotonic time in seconds.
         """
-        self.lateness += _SHARE * (lateness - self.lateness)
+        self.lateness += _SAMPLE_WEIGHT * (lateness - self.lateness)
         if self.lateness >= BUSY_LATENESS_SECONDS:
             self.busy_until = now + HOLD_SECONDS
         return now < self.busy_until
