--- a/src/wardstair/decisions/health.py
+++ b/src/wardstair/decisions/health.py
@@ -1,4 +1,4 @@
-"""Decides whether an upstream gets new work, by notices and failures."""
+"""Tracks drains, leaving notices and failures that stop new work."""
 
 from dataclasses import dataclass, replace
 from enum import StrEnum
@@ -71,8 +71,8 @@
 def record_failure(health: UpstreamHealth, now: float) -> UpstreamHealth:
     """Count a failed attempt, and eject the upstream if there are too many.
 
-    Ejection starts at `FAILURES_TO_EJECT` consecutive failures; each further
-    one doubles its duration.
+    Ejection starts at `FAILURES_TO_EJECT` consecutive failures. Each further
+    failure doubles its duration, up to `MAX_EJECTION_SECONDS`.
     """
     failures = health.failures + 1
     excess = failures - FAILURES_TO_EJECT
--- a/tests/unit/test_answer_times.py
+++ b/tests/unit/test_answer_times.py
@@ -1,4 +1,4 @@
-"""What the time of an answer tells of its upstream."""
+"""Detection of slow upstreams and hedging by answer times."""
 
 import pytest
 
@@ -6,13 +6,14 @@
 
 
 @pytest.mark.parametrize(
-    ('seconds', 'is_known_warm', 'shown'),
+    ('seconds', 'is_known_warm', 'ratio'),
     [
-        # The key was warm for certain: every time counts.
+        # The key was certainly warm: every time shows the upstream's speed.
         (0.2, True, 1.0),
         (0.8, True, 4.0),
-        # Not known: quick answers show a sound upstream, times of a first run
-        # show nothing, and longer ones a slow upstream.
+        # The run may have been cold: short times show a normal upstream, times
+        # that a cold run would explain show nothing, and longer ones show a
+        # slow upstream.
         (0.2, False, 1.0),
         (0.1, False, 0.5),
         (0.4, False, None),
@@ -21,28 +22,28 @@
         (3.0, False, 5.0),
     ],
 )
-def test_a_time_tells_of_the_upstream_only_if_not_of_the_key(
+def test_times_that_a_cold_run_explains_do_not_count_as_slow(
     seconds: float,
     is_known_warm: bool,
-    shown: float | None,
+    ratio: float | None,
 ) -> None:
     found = slowdown_ratio(
         seconds, warm=0.2, cold=0.6, is_known_warm=is_known_warm
     )
-    assert found == (None if shown is None else pytest.approx(shown))
+    assert found == (None if ratio is None else pytest.approx(ratio))
 
 
 @pytest.mark.parametrize(
     ('expected', 'longest', 'seconds'),
     [
-        # Certain of the key: a few times the expected time.
+        # Certainly warm: a multiple of the expected time.
         (0.2, 0.2, 0.5),
-        # Not certain: a first run on the key may end first.
+        # Possibly cold: after a cold run would have ended.
         (0.2, 0.6, 0.84),
         (0.01, 0.03, 0.25),
     ],
 )
-def test_a_second_upstream_is_tried_after_a_first_run_would_have_ended(
+def test_hedging_waits_until_a_cold_run_would_have_ended(
     expected: float,
     longest: float,
     seconds: float,
--- a/tests/unit/test_authorisation.py
+++ b/tests/unit/test_authorisation.py
@@ -55,7 +55,7 @@
         (NO_KEY, EXPIRED, MISSING),
     ],
 )
-def test_a_route_that_is_not_public_needs_one_valid_key(
+def test_a_route_that_is_not_public_requires_exactly_one_valid_key(
     api_keys: tuple[str, ...],
     freshness: Freshness,
     verdict: Verdict,
@@ -74,7 +74,7 @@
     ],
 )
 @pytest.mark.parametrize('freshness', [CURRENT, DISCONNECTED, EXPIRED])
-def test_a_public_route_needs_no_key(
+def test_a_public_route_requires_no_key(
     api_keys: tuple[str, ...],
     freshness: Freshness,
     verdict: Verdict,
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize('api_keys', [NO_KEY, ('any',)])
-def test_without_organisations_no_key_is_needed(
+def test_without_organisations_no_key_is_required(
     api_keys: tuple[str, ...],
 ) -> None:
     verdict = authorise(api_keys, OrganisationTable(), EXPIRED, is_public=False)
--- a/tests/unit/test_blocks.py
+++ b/tests/unit/test_blocks.py
@@ -1,4 +1,4 @@
-"""The block table against a naive look-up."""
+"""The table of address blocks, compared with a linear search."""
 
 from ipaddress import IPv4Network
 
@@ -16,17 +16,17 @@
 
 
 def naive_site(blocks: list[Block], address: int) -> int:
-    """Return the site of the longest prefix that holds the address."""
-    holding = [
+    """Return the site of the longest prefix that contains the address."""
+    containing = [
         block
         for block in blocks
         if int(block.network.network_address)
         <= address
         <= int(block.network.broadcast_address)
     ]
-    if not holding:
+    if not containing:
         return NO_SITE
-    return max(holding, key=lambda block: block.network.prefixlen).site
+    return max(containing, key=lambda block: block.network.prefixlen).site
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
--- a/tests/unit/test_choice.py
+++ b/tests/unit/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice of an upstream, against the naive best of all."""
+"""Choice of an upstream, the waiting queue, and ejection of upstreams."""
 
 from random import Random
 
@@ -86,55 +86,55 @@
 
 
 @pytest.mark.parametrize(
-    ('load', 'age', 'worse'),
+    ('load', 'age', 'is_worse'),
     [(1.0, 0.0, True), (1.0, 60.0, False), (-9.0, 0.0, False)],
 )
-def test_a_report_only_lowers_trust(
+def test_a_load_report_never_improves_the_score(
     load: float,
     age: float,
-    worse: bool,
+    is_worse: bool,
 ) -> None:
     plain = Candidate('u', 1, 0, 0.1)
-    told = Candidate('u', 1, 0, 0.1, reported_load=load, report_age=age)
-    assert (score(told) > score(plain)) is worse
-    assert score(told) >= score(plain)
+    reported = Candidate('u', 1, 0, 0.1, reported_load=load, report_age=age)
+    assert (score(reported) > score(plain)) is is_worse
+    assert score(reported) >= score(plain)
 
 
 @pytest.mark.parametrize(
     ('seconds', 'share'),
     [(-5, 0.25), (0, 0.25), (15, 0.625), (30, 1.0), (1e9, 1.0)],
 )
-def test_cold_upstreams_are_ramped(seconds: float, share: float) -> None:
+def test_load_is_ramped_up_in_slow_start(seconds: float, share: float) -> None:
     assert slow_start_share(seconds) == pytest.approx(share)
 
 
-def test_the_least_important_newest_waiter_goes_first() -> None:
-    line = WaitingQueue(limit=2)
-    line.add(Waiter(1, 2, 10.0))
-    line.add(Waiter(2, 2, 10.0))
-    assert line.add(Waiter(3, 2, 10.0)) == Rejected()
-    entered = line.add(Waiter(4, 8, 10.0))
+def test_the_newest_of_the_least_important_waiters_is_displaced() -> None:
+    queue = WaitingQueue(limit=2)
+    queue.add(Waiter(1, 2, 10.0))
+    queue.add(Waiter(2, 2, 10.0))
+    assert queue.add(Waiter(3, 2, 10.0)) == Rejected()
+    entered = queue.add(Waiter(4, 8, 10.0))
     assert entered == Enqueued((Waiter(2, 2, 10.0),))
-    assert [one.number for one in line.by_priority()] == [4, 1]
+    assert [one.number for one in queue.by_priority()] == [4, 1]
 
 
 def test_waiters_past_their_deadline_are_dropped() -> None:
-    line = WaitingQueue(limit=2)
-    line.add(Waiter(1, 2, 10.0))
-    line.add(Waiter(2, 2, 30.0))
-    assert [one.number for one in line.drop_expired(9.0, 2.0)] == [1]
+    queue = WaitingQueue(limit=2)
+    queue.add(Waiter(1, 2, 10.0))
+    queue.add(Waiter(2, 2, 30.0))
+    assert [one.number for one in queue.drop_expired(9.0, 2.0)] == [1]
 
 
-def test_only_the_operator_brings_an_upstream_back_early() -> None:
+def test_only_the_operator_ends_a_leaving_period_early() -> None:
     leaving = record_leaving(UpstreamHealth(), 100.0)
     assert not record_success(leaving).may_serve(101.0)
     assert leaving.may_serve(100.0 + LEAVING_SECONDS)
     drained = set_drained(leaving, 101.0, is_drained=True)
-    back = set_drained(drained, 102.0, is_drained=False)
-    assert back.may_serve(102.0)
+    resumed = set_drained(drained, 102.0, is_drained=False)
+    assert resumed.may_serve(102.0)
 
 
-def test_failures_in_a_row_eject_for_longer_and_longer() -> None:
+def test_consecutive_failures_eject_for_longer_each_time() -> None:
     health = UpstreamHealth()
     for _ in range(FAILURES_TO_EJECT - 1):
         health = record_failure(health, 0.0)
--- a/tests/unit/test_entry_expiry.py
+++ b/tests/unit/test_entry_expiry.py
@@ -1,4 +1,4 @@
-"""Whether what vanished may have lapsed, by the contact of other hosts."""
+"""Whether vanished entries may have expired, by contact with the store."""
 
 from random import Random
 
@@ -22,32 +22,36 @@
 
 
 @pytest.mark.parametrize(
-    ('contacts', 'are_back'),
+    ('contacts', 'are_restored'),
     [
-        pytest.param([ContactPeriod(90.0, 108.0)], True, id='throughout'),
-        pytest.param([ContactPeriod(106.0, 107.0)], True, id='back before'),
-        pytest.param([ContactPeriod(106.1, 108.0)], False, id='just back'),
-        pytest.param([ContactPeriod(90.0, 105.0)], True, id='proved lately'),
-        pytest.param([ContactPeriod(90.0, 104.9)], False, id='proved long ago'),
+        pytest.param([ContactPeriod(90.0, 108.0)], True, id='uninterrupted'),
+        pytest.param(
+            [ContactPeriod(106.0, 107.0)], True, id='back for long enough'
+        ),
+        pytest.param([ContactPeriod(106.1, 108.0)], False, id='just regained'),
+        pytest.param([ContactPeriod(90.0, 105.0)], True, id='recent answer'),
+        pytest.param(
+            [ContactPeriod(90.0, 104.9)], False, id='last answer too old'
+        ),
         pytest.param(
             [ContactPeriod(107.0, 108.0), ContactPeriod(90.0, 107.0)],
             True,
-            id='one of two',
+            id='one of two hosts',
         ),
         pytest.param(
             [ContactPeriod(90.0, 104.0), ContactPeriod(107.0, 108.0)],
             False,
-            id='in turn',
+            id='each at another time',
         ),
-        pytest.param([], False, id='nobody is heard'),
+        pytest.param([], False, id='no host is heard'),
     ],
 )
-def test_one_host_with_contact_for_long_enough_shows_that_entries_are_back(
+def test_one_long_contact_period_proves_that_entries_are_restored(
     contacts: list[ContactPeriod],
     *,
-    are_back: bool,
+    are_restored: bool,
 ) -> None:
-    assert are_entries_restored(contacts, TIMES, NOW) is are_back
+    assert are_entries_restored(contacts, TIMES, NOW) is are_restored
 
 
 def contact_at(clock: Clock) -> StoreContact:
@@ -60,11 +64,11 @@
     ('gaps', 'held'),
     [
         ([2.0, 3.0], 5.0),
-        # A host that was suspended knows nothing of that time.
+        # A host that was suspended does not know about that time.
         ([2.0, 3.1, 1.0], 1.0),
     ],
 )
-def test_contact_is_interrupted_where_answers_are_too_far_apart(
+def test_a_long_gap_between_answers_interrupts_contact(
     gaps: list[float],
     held: float,
 ) -> None:
@@ -77,7 +81,7 @@
     assert contact.span == ContactPeriod(clock.now - held, clock.now)
 
 
-def test_contact_begins_anew_after_a_failure() -> None:
+def test_a_contact_period_restarts_after_a_failure() -> None:
     clock = Clock()
     contact = contact_at(clock)
     contact.note_success()
@@ -89,7 +93,7 @@
 
 
 @pytest.mark.parametrize('is_heard', [True, False])
-def test_a_host_that_was_cut_off_alone_takes_removals_for_removals(
+def test_a_host_that_was_cut_off_alone_trusts_removals(
     *,
     is_heard: bool,
 ) -> None:
@@ -113,16 +117,16 @@
 
 
 @pytest.mark.parametrize(
-    ('away_seconds', 'may_have_lapsed'),
+    ('away_seconds', 'may_have_expired'),
     [
         pytest.param(0.5, False, id='a reset'),
         pytest.param(HARMLESS_SECONDS + 0.1, True, id='an outage'),
     ],
 )
-def test_a_removal_after_a_short_reset_is_no_lapse(
+def test_a_removal_after_a_short_reset_is_not_taken_for_expiry(
     away_seconds: float,
     *,
-    may_have_lapsed: bool,
+    may_have_expired: bool,
 ) -> None:
     clock = Clock()
     contact = contact_at(clock)
@@ -130,7 +134,7 @@
     contact.note_failure('reset')
     clock.now += away_seconds
     contact.note_success()
-    assert contact.was_away_lately is may_have_lapsed
+    assert contact.was_away_lately is may_have_expired
 
 
 def test_a_short_reset_does_not_end_the_wait_after_an_outage() -> None:
--- a/tests/unit/test_fleet_rate.py
+++ b/tests/unit/test_fleet_rate.py
@@ -1,7 +1,8 @@
-"""A rate that binds the sum of all hosts, divided without a count in common.
+"""Division of a fleet's rate limit among hosts that share no count.
 
-Played: what comes to one upstream that names a limit. Each host draws requests
-for it and knows the others as of a second ago.
+A simulation of the requests that arrive at one limited upstream: each host
+draws requests at random and knows the load of the others with a delay of about
+a second.
 """
 
 from collections.abc import Callable
@@ -26,22 +27,22 @@
 )
 
 SECONDS = 30.0
-# Requests a second that callers have for the upstream, all hosts together.
+# Requests per second for the upstream, summed over all hosts.
 WANTED = 16.0
-# What of a limit is to be used where callers have enough for it.
+# Fraction of a limit that must be used if there are enough requests.
 USED = 0.8
 RATES = (0.1, 0.5, 2.0, 3.6, 10.0, 40.0)
 
 
 def wanted_by(fleet: PlayedFleet, rate: float, wanted: float = WANTED) -> float:
-    """Return what each host that may send has for the upstream."""
-    parts = []
+    """Return the requests per second for the upstream at each sending host."""
+    shares = []
     for host in fleet.hosts:
         host.told = host.load
     for host in fleet.hosts:
         fleet.refresh(host)
-        parts.append(host_share('u', 'z0', bound_of(rate), host.view))
-    load_multiple = max(part.load_multiple for part in parts if part.rate)
+        shares.append(host_share('u', 'z0', bound_of(rate), host.view))
+    load_multiple = max(share.load_multiple for share in shares if share.rate)
     return wanted / len(fleet.hosts) * min(load_multiple, 32)
 
 
@@ -50,21 +51,21 @@
     ('zones', 'hosts_a_zone', 'load'),
     [(6, 2, 33.0), (6, 1, 66.0), (1, 4, 10.0), (9, 21, 4.0)],
 )
-def test_no_window_has_more_than_is_borne(
+def test_no_window_exceeds_its_maximum(
     zones: int,
     hosts_a_zone: int,
     load: float,
     rate: float,
 ) -> None:
     fleet = PlayedFleet.of(zones, hosts_a_zone, load)
-    # Far more than it takes, so that each part is used up.
-    came = fleet.play(
+    # Far more requests than the limit, so that each share is used up.
+    arrivals = fleet.play(
         lambda _host, _now: 5.0,
         steady(rate),
         12,
         most=5.0,
     )
-    assert most_in_window(came) <= bound_of(rate).max_per_window
+    assert most_in_window(arrivals) <= bound_of(rate).max_per_window
 
 
 @pytest.mark.parametrize('rate', [0.5, 2.0, 3.6])
@@ -72,7 +73,7 @@
     ('zones', 'hosts_a_zone', 'load'),
     [(6, 2, 33.0), (9, 21, 4.0)],
 )
-def test_a_limit_is_used_where_callers_have_enough(
+def test_most_of_a_limit_is_used_if_there_are_enough_requests(
     zones: int,
     hosts_a_zone: int,
     load: float,
@@ -81,19 +82,19 @@
     fleet = PlayedFleet.of(zones, hosts_a_zone, load)
     wanted = wanted_by(fleet, rate)
     seconds = 100
-    came = fleet.play(
+    arrivals = fleet.play(
         lambda _host, _now: wanted,
         steady(rate),
         seconds,
         most=wanted,
     )
-    assert len(came) >= rate * seconds * USED
-    assert len(came) <= rate * seconds
+    assert len(arrivals) >= rate * seconds * USED
+    assert len(arrivals) <= rate * seconds
 
 
 @pytest.mark.parametrize('rate', [0.5, 1.0, 25.0])
-def test_the_parts_of_the_planned_fleet_make_the_rate(rate: float) -> None:
-    """1,178 hosts in 62 zones; a part each would be one in 40 minutes."""
+def test_the_shares_of_a_large_fleet_add_up_to_the_rate(rate: float) -> None:
+    """1,178 hosts in 62 zones, about the largest planned fleet."""
     fleet = PlayedFleet.of(62, 19, 20.0)
     for host in fleet.hosts:
         host.told = host.load
@@ -104,7 +105,7 @@
     senders = [one for one in rates if one]
     assert sum(rates) == pytest.approx(rate * RATE_FRACTION_USED)
     assert 0 < len(senders) <= bound.senders
-    # Each may have saved up a request, and one may be held up on the way.
+    # Each sender may have saved requests, and one may arrive with a delay.
     most = rate * RATE_FRACTION_USED * bound.window + len(senders) * (
         MAX_SAVED_REQUESTS + 0.5
     )
@@ -113,19 +114,21 @@
 
 @pytest.mark.parametrize('seed', range(4))
 @pytest.mark.parametrize('rate', [0.5, 3.6, 20.0])
-@pytest.mark.parametrize('kind', ['zones in turn', 'one zone', 'by chance'])
-def test_parts_that_follow_the_load_stay_within_what_is_borne(
+@pytest.mark.parametrize(
+    'kind', ['alternating zones', 'one zone', 'random hosts']
+)
+def test_shares_that_follow_the_load_keep_windows_within_the_maximum(
     kind: str,
     rate: float,
     seed: int,
 ) -> None:
-    """Callers come and go by hosts and zones every few seconds."""
+    """The callers of hosts and zones change every few seconds."""
     fleet = PlayedFleet.of(6, 2, 33.0, seed)
 
     def is_loaded(host: PlayedHost, now: float) -> bool:
         zone = int(host.zone[1:])
         match kind:
-            case 'zones in turn':
+            case 'alternating zones':
                 return (int(now / 5) + zone) % 2 == 0
             case 'one zone':
                 return int(now / 5) % 6 == zone
@@ -135,15 +138,15 @@
 
     def wanted(host: PlayedHost, now: float) -> float:
         target = 66.0 if is_loaded(host, now) else 0.0
-        # What a host tells follows its callers within some seconds.
+        # The reported load follows the callers with a delay of some seconds.
         host.load += (target - host.load) * 0.02
         return 8.0 if target else 0.0
 
-    came = fleet.play(wanted, steady(rate), SECONDS)
-    assert most_in_window(came) <= bound_of(rate).max_per_window
+    arrivals = fleet.play(wanted, steady(rate), SECONDS)
+    assert most_in_window(arrivals) <= bound_of(rate).max_per_window
 
 
-def other_half(one: PlayedHost, other: PlayedHost) -> bool:
+def in_same_half(one: PlayedHost, other: PlayedHost) -> bool:
     return (int(one.zone[1:]) < 3) == (int(other.zone[1:]) < 3)
 
 
@@ -151,7 +154,7 @@
     return one.name[-1] == other.name[-1]
 
 
-def nobody(one: PlayedHost, other: PlayedHost) -> bool:
+def is_same_host(one: PlayedHost, other: PlayedHost) -> bool:
     return one is other
 
 
@@ -159,27 +162,27 @@
 @pytest.mark.parametrize(
     'hears',
     [
-        pytest.param(other_half, id='two halves by zones'),
+        pytest.param(in_same_half, id='two halves by zones'),
         pytest.param(same_number, id='two halves in each zone'),
-        pytest.param(nobody, id='each host alone'),
+        pytest.param(is_same_host, id='each host isolated'),
     ],
 )
-def test_hosts_that_are_cut_off_from_each_other_keep_their_part(
+def test_partitioned_hosts_stay_within_the_limit(
     hears: Callable[[PlayedHost, PlayedHost], bool],
     rate: float,
 ) -> None:
     fleet = PlayedFleet.of(6, 2, 33.0)
     fleet.hears = hears
-    came = fleet.play(lambda _host, _now: 20.0, steady(rate), SECONDS)
-    assert most_in_window(came) <= bound_of(rate).max_per_window
+    arrivals = fleet.play(lambda _host, _now: 20.0, steady(rate), SECONDS)
+    assert most_in_window(arrivals) <= bound_of(rate).max_per_window
 
 
-def other_third(one: PlayedHost, other: PlayedHost) -> bool:
+def in_same_third(one: PlayedHost, other: PlayedHost) -> bool:
     return int(one.zone[1:]) // 3 == int(other.zone[1:]) // 3
 
 
-def all_but_every_tenth(one: PlayedHost, other: PlayedHost) -> bool:
-    """Return whether a host hears another; some hear nobody, nor are heard."""
+def are_both_connected(one: PlayedHost, other: PlayedHost) -> bool:
+    """Return whether a host hears another; every tenth host is isolated."""
     numbers = (one.name, other.name)
     return one is other or not any(name.endswith('0') for name in numbers)
 
@@ -188,16 +191,16 @@
 @pytest.mark.parametrize(
     'hears',
     [
-        pytest.param(other_third, id='three parts by zones'),
+        pytest.param(in_same_third, id='three parts by zones'),
         pytest.param(same_number, id='ten parts in each zone'),
-        pytest.param(all_but_every_tenth, id='some cut off from all'),
+        pytest.param(are_both_connected, id='every tenth host isolated'),
     ],
 )
-def test_a_large_fleet_whose_views_differ_keeps_its_part(
+def test_a_large_partitioned_fleet_stays_within_the_limit(
     hears: Callable[[PlayedHost, PlayedHost], bool],
     rate: float,
 ) -> None:
-    """198 hosts; each is told up to 1.5 s late, and loads swing meanwhile."""
+    """198 hosts that learn the limit up to 1.5 s late, under changing load."""
     fleet = PlayedFleet.of(9, 22, 4.0)
     fleet.hears = hears
     random = Random(1)
@@ -209,36 +212,36 @@
         host.load += ((8.0 if is_loaded else 0.0) - host.load) * 0.02
         return 1.0
 
-    came = fleet.play(wanted, steady(rate), SECONDS, most=1.0)
-    late = [at for at in came if at >= 4]
+    arrivals = fleet.play(wanted, steady(rate), SECONDS, most=1.0)
+    late = [at for at in arrivals if at >= 4]
     assert most_in_window(late) <= bound_of(rate).max_per_window
 
 
 @pytest.mark.parametrize('rate', [0.5, 3.6, 10.0])
-def test_hosts_that_are_told_late_take_no_request_beside_the_others(
+def test_hosts_that_learn_the_limit_late_stay_within_it(
     rate: float,
 ) -> None:
-    """Up to 1.5 s late; counted from four seconds after it was first named."""
+    """Up to 1.5 s late; counts from 4 s after the limit was first sent."""
     for seed in range(4):
         fleet = PlayedFleet.of(6, 2, 33.0, seed)
         random = Random(seed)
         for host in fleet.hosts:
             host.knows_at = random.uniform(0, 1.5)
-        came = fleet.play(lambda _host, _now: 2.0, steady(rate), SECONDS)
-        late = [at for at in came if at >= 4]
+        arrivals = fleet.play(lambda _host, _now: 2.0, steady(rate), SECONDS)
+        late = [at for at in arrivals if at >= 4]
         assert most_in_window(late) <= bound_of(rate).max_per_window
 
 
-def test_a_limit_that_falls_binds_from_then_on() -> None:
+def test_a_lowered_limit_takes_effect_immediately() -> None:
     high = bound_of(20.0)
     low = bound_of(2.0)
     fleet = PlayedFleet.of(6, 2, 33.0)
-    came = fleet.play(
+    arrivals = fleet.play(
         lambda _host, _now: 5.0,
         lambda now: high if now < 10 else low,
         SECONDS,
     )
-    after = [at for at in came if at >= 10.1]
+    after = [at for at in arrivals if at >= 10.1]
     assert most_in_window(after) <= low.max_per_window
 
 
@@ -246,11 +249,15 @@
     ('changes', 'senders'),
     [
         pytest.param({}, {'a1', 'a2'}, id='own zone'),
-        # A host that cannot know the others sends nothing.
+        # A host that may not know all others yet sends nothing.
         pytest.param({'is_settled': False}, set(), id='just started'),
-        pytest.param({'own': 'x'}, set(), id='about to stop'),
-        # Nobody of the upstream's own zone has callers.
-        pytest.param({'zone': 'b', 'hosts': {'a1': 0, 'a2': 0}}, set(), id='b'),
+        pytest.param({'own': 'x'}, set(), id='not among the hosts'),
+        # No host of the upstream's own zone has callers.
+        pytest.param(
+            {'zone': 'b', 'hosts': {'a1': 0, 'a2': 0}},
+            set(),
+            id='zone without load',
+        ),
     ],
 )
 def test_who_may_send(changes: dict[str, object], senders: set[str]) -> None:
@@ -275,9 +282,7 @@
     assert found == senders
 
 
-def test_a_zone_without_callers_is_passed_over_for_the_next_of_its_region() -> (
-    None
-):
+def test_a_zone_without_load_is_replaced_by_the_next_of_its_region() -> None:
     view = LoadView(
         'b1',
         'b',
@@ -286,22 +291,22 @@
         {'a': 'r', 'b': 'r', 'c': 's'},
         is_settled=True,
     )
-    part = host_share('u', 'a', bound_of(0.5), view)
-    assert part.rate == pytest.approx(0.5 * RATE_FRACTION_USED)
-    assert part.load_multiple == pytest.approx(55.5 / 5)
+    share = host_share('u', 'a', bound_of(0.5), view)
+    assert share.rate == pytest.approx(0.5 * RATE_FRACTION_USED)
+    assert share.load_multiple == pytest.approx(55.5 / 5)
 
 
-def test_what_is_saved_up_is_bounded_and_begins_with_nothing() -> None:
+def test_an_allowance_starts_empty_and_saves_a_bounded_number() -> None:
     allowance = Allowance()
     assert not allowance.is_due(1.0, 0.0)
     assert not allowance.is_due(1.0, 0.9)
     assert allowance.is_due(1.0, 1.0)
     allowance.take()
     assert not allowance.is_due(1.0, 1.5)
-    # Hours later it has one request and a half.
+    # Hours later it has saved one and a half requests.
     assert allowance.is_due(1.0, 9000.0)
     allowance.take()
     assert not allowance.is_due(1.0, 9000.4)
     assert allowance.is_due(1.0, 9000.5)
-    # A part that has passed to another host allows nothing.
+    # Without a share, saved requests may not be sent.
     assert not allowance.is_due(0.0, 9999.0)
--- a/tests/unit/test_ledger.py
+++ b/tests/unit/test_ledger.py
@@ -1,7 +1,8 @@
-"""The ledger never lets two pieces of work use one token.
+"""The ledger never lets two pieces of work use the same token.
 
-A state machine plays several hosts with clocks, messages that are late, lost
-or doubled, pauses, deaths and restarts, and counts the work itself.
+A state machine simulates several hosts with delayed, lost and duplicated
+messages, pauses, crashes and restarts, and counts the work on each token
+independently of the ledgers.
 """
 
 from collections.abc import Callable
@@ -39,7 +40,7 @@
 
 @dataclass
 class Work:
-    """Work that an upstream does for one incarnation."""
+    """Work that an upstream runs for one incarnation of a host."""
 
     token: int
     ends_by: float | None
@@ -47,7 +48,7 @@
 
 @dataclass
 class Host:
-    """A host with its ledger and the work it believes it has."""
+    """A host with its ledger and the slots that it has taken."""
 
     identity: Identity
     ledger: Ledger
@@ -57,8 +58,8 @@
 
 
 @dataclass
-class Ask:
-    """A question on its way."""
+class LoanRequest:
+    """A loan request in transit."""
 
     borrower: Identity
     lender: str
@@ -66,8 +67,8 @@
 
 
 @dataclass
-class Give:
-    """An offer on its way."""
+class OfferMessage:
+    """A loan offer in transit."""
 
     lender: Identity
     borrower: str
@@ -76,14 +77,14 @@
 
 
 @dataclass
-class Back:
-    """A return on its way."""
+class ReturnMessage:
+    """A loan return in transit."""
 
     loan: LoanReturn
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Hosts of a zone, seen from outside."""
+    """Simulation of the hosts of a zone."""
 
     hold: float | None = HOLD
 
@@ -133,7 +134,7 @@
             keeps_loans=self.numbers % 2 == 0,
         )
         if loan is not None:
-            self.messages.append(Back(loan))
+            self.messages.append(ReturnMessage(loan))
 
     @rule(
         borrower=st.sampled_from(['h0', 'h1', 'h2']),
@@ -146,7 +147,7 @@
         self.numbers += 1
         number = str(self.numbers)
         host.asked[number] = self.now
-        self.messages.append(Ask(host.identity, lender, number))
+        self.messages.append(LoanRequest(host.identity, lender, number))
 
     @rule(
         index=st.integers(0, 5),
@@ -164,16 +165,16 @@
 
     def receive(self, message: Any) -> None:
         match message:
-            case Ask():
-                self.on_ask(message)
-            case Give():
-                self.on_give(message)
-            case Back(loan=loan):
+            case LoanRequest():
+                self.on_loan_request(message)
+            case OfferMessage():
+                self.on_offer(message)
+            case ReturnMessage(loan=loan):
                 lender = self.hosts[loan.lender.name]
                 if lender.identity == loan.lender and not lender.is_paused:
                     lender.ledger.reclaim(loan.loan, loan.tokens)
 
-    def on_ask(self, message: Ask) -> None:
+    def on_loan_request(self, message: LoanRequest) -> None:
         lender = self.hosts[message.lender]
         if lender.is_paused:
             return
@@ -182,7 +183,7 @@
         offer = lender.ledger.lend(message.borrower, 2, loan, self.now)
         if offer is not None:
             self.messages.append(
-                Give(
+                OfferMessage(
                     lender.identity,
                     message.borrower.name,
                     message.number,
@@ -190,7 +191,7 @@
                 ),
             )
 
-    def on_give(self, message: Give) -> None:
+    def on_offer(self, message: OfferMessage) -> None:
         host = self.hosts[message.borrower]
         asked_at = host.asked.get(message.number)
         if asked_at is None or host.is_paused:
@@ -200,7 +201,7 @@
 
     @rule(seconds=st.sampled_from([0.5, 2.0, LOAN_SECONDS, 12.0]))
     def pass_time(self, seconds: float) -> None:
-        """Time passes; work past its hold ends at the upstream."""
+        """Advance the clock, and end work that exceeds its hold time."""
         self.now += seconds
         for host in self.hosts.values():
             for slot in list(host.slots):
@@ -211,7 +212,7 @@
                     self.end_slot(host, slot)
             if not host.is_paused:
                 self.messages.extend(
-                    Back(loan) for loan in host.ledger.expire(self.now)
+                    ReturnMessage(loan) for loan in host.ledger.expire(self.now)
                 )
 
     @rule(name=st.sampled_from(['h0', 'h1', 'h2']))
@@ -220,10 +221,10 @@
 
     @rule(name=st.sampled_from(['h0', 'h1', 'h2']))
     def restart(self, name: str) -> None:
-        """Restart with nothing; upstreams still work for the old one.
+        """Restart a host without state, while upstreams still run its work.
 
-        The new incarnation owns the tokens of its name, after the longest
-        time that work of the old one can last.
+        The new incarnation may use the tokens of the host after the longest
+        time that work of the previous incarnation can last.
         """
         old = self.hosts[name]
         settle = self.hold or 0.0
@@ -262,8 +263,8 @@
 
 
 @dataclass
-class HoldingsAsk:
-    """A new owner's question on its way."""
+class HoldingsQuery:
+    """A query of a new owner in transit."""
 
     owner: Identity
     asked: str
@@ -271,8 +272,8 @@
 
 
 @dataclass
-class HoldingsGive:
-    """An answer on its way."""
+class HoldingsAnswer:
+    """An answer to such a query in transit."""
 
     owner: Identity
     asked_at: float
@@ -281,10 +282,10 @@
 
 
 class UnboundedLedgerMachine(LedgerMachine):
-    """Work of any length, such as uploads.
+    """Simulation with work of unlimited duration, such as uploads.
 
-    Loans end by return only, and a new incarnation may use its tokens only
-    after every other host has said what it holds.
+    Loans end only by return, and a new incarnation may use its tokens only
+    after every other host has reported which tokens it holds.
     """
 
     hold = None
@@ -299,7 +300,7 @@
 
     @rule(name=st.sampled_from(['h0', 'h1', 'h2']))
     def restart(self, name: str) -> None:
-        """Restart with nothing; uploads end with their connections."""
+        """Restart a host without state; uploads end with their connections."""
         old = self.hosts[name]
         for key in list(self.work):
             if key[0] == name:
@@ -316,25 +317,25 @@
     @rule(name=st.sampled_from(['h0', 'h1', 'h2']))
     def ask_holdings(self, name: str) -> None:
         host = self.hosts[name]
-        doubtful = {
+        to_query = {
             one.name for one in host.ledger.borrowers_to_query(self.now)
         }
         if host.ledger.unresolved:
-            doubtful |= self.hosts.keys() - {name}
+            to_query |= self.hosts.keys() - {name}
         waiting = {
             message.asked
             for message in self.messages
-            if isinstance(message, HoldingsAsk)
+            if isinstance(message, HoldingsQuery)
             and message.owner == host.identity
         }
         self.messages.extend(
-            HoldingsAsk(host.identity, other, self.now)
-            for other in sorted(doubtful - waiting)
+            HoldingsQuery(host.identity, other, self.now)
+            for other in sorted(to_query - waiting)
         )
         self.resolve(host)
 
     def resolve(self, host: Host) -> None:
-        """Use the tokens if all present incarnations have answered."""
+        """Resolve the tokens if all current incarnations have answered."""
         answers = self.answers.get(host.identity.name, {})
         others = {
             other.identity for other in self.hosts.values() if other is not host
@@ -345,25 +346,25 @@
 
     def receive(self, message: Any) -> None:
         match message:
-            case HoldingsAsk(owner=owner, asked=asked, asked_at=asked_at):
+            case HoldingsQuery(owner=owner, asked=asked, asked_at=asked_at):
                 host = self.hosts[asked]
                 if host.is_paused:
                     return
                 host.asked.clear()
                 self.messages.append(
-                    HoldingsGive(
+                    HoldingsAnswer(
                         owner,
                         asked_at,
                         host.identity,
                         host.ledger.holdings(),
                     ),
                 )
-            case HoldingsGive():
+            case HoldingsAnswer():
                 self.on_holdings(message)
             case _:
                 super().receive(message)
 
-    def on_holdings(self, message: HoldingsGive) -> None:
+    def on_holdings(self, message: HoldingsAnswer) -> None:
         owner = self.hosts[message.owner.name]
         if owner.identity != message.owner or owner.is_paused:
             return
@@ -387,7 +388,7 @@
 
 
 def walk(machine: LedgerMachine, random: Random, steps: int) -> None:
-    """Take random steps, many more than hypothesis draws one by one."""
+    """Take random steps, many more than the state machine test can run."""
     machine.start()
     name = ['h0', 'h1', 'h2']
     moves: list[tuple[float, Callable[[], None]]] = [
@@ -429,14 +430,14 @@
 
 
 def make_ledger(tokens: int, hold: float | None = HOLD) -> Ledger:
-    """Return a ledger that owns some tokens."""
+    """Return a ledger that owns a number of idle tokens."""
     ledger = Ledger(hold)
     for token in range(tokens):
         ledger.adopt(token, 0.0, 0.0)
     return ledger
 
 
-ME = Identity('me', '1')
+OWNER = Identity('me', '1')
 PEER = Identity('peer', '1')
 
 
@@ -444,7 +445,7 @@
     ('idle', 'wanted', 'lent'),
     [(0, 1, 0), (1, 1, 1), (2, 5, 1), (3, 5, 2), (9, 2, 2), (9, 9, 5)],
 )
-def test_lends_half_but_one_at_least(
+def test_lends_half_of_the_idle_tokens_but_at_least_one(
     idle: int,
     wanted: int,
     lent: int,
@@ -453,13 +454,13 @@
     assert (0 if offer is None else len(offer.tokens)) == lent
 
 
-def test_a_loan_that_nothing_waits_for_goes_back_at_once() -> None:
+def test_a_loan_without_waiting_work_is_returned_immediately() -> None:
     lender, borrower = make_ledger(2), Ledger(HOLD)
     offer = lender.lend(PEER, 1, 'a', 0.0)
     assert offer is not None
-    borrower.accept(ME, offer, asked_at=0.0)
+    borrower.accept(OWNER, offer, asked_at=0.0)
     assert borrower.take(1.0) is not None
-    assert borrower.put_back(0, 1.5) == LoanReturn(ME, 'a', (0,))
+    assert borrower.put_back(0, 1.5) == LoanReturn(OWNER, 'a', (0,))
 
 
 @pytest.mark.parametrize(
@@ -471,34 +472,36 @@
         ((), 0, 9.0, None),
     ],
 )
-def test_the_longer_queue_gets_a_token_that_comes_free(
+def test_the_longest_queue_gets_a_token_that_becomes_idle(
     waiting: tuple[int, ...],
     own: int,
     until: float,
     chosen: int | None,
 ) -> None:
-    asks = [PendingLoanRequest(PEER, str(one), one, until) for one in waiting]
-    found = choose_loan_request(asks, own, 1.0)
+    loan_requests = [
+        PendingLoanRequest(PEER, str(one), one, until) for one in waiting
+    ]
+    found = choose_loan_request(loan_requests, own, 1.0)
     assert (None if found is None else found.waiting) == chosen
 
 
-def test_paused_borrower_does_not_start_on_an_ended_loan() -> None:
+def test_a_borrower_starts_no_work_on_an_expired_loan() -> None:
     lender, borrower = make_ledger(1), Ledger(HOLD)
     offer = lender.lend(PEER, 1, 'a', 10.0)
     assert offer is not None
-    borrower.accept(ME, offer, asked_at=9.5)
+    borrower.accept(OWNER, offer, asked_at=9.5)
     assert borrower.take(9.5 + LOAN_SECONDS) is None
 
 
-def test_slot_tells_the_last_moment_to_start() -> None:
+def test_a_slot_states_the_latest_time_to_start() -> None:
     lender, borrower = make_ledger(1), Ledger(HOLD)
     offer = lender.lend(PEER, 1, 'a', 10.0)
     assert offer is not None
-    borrower.accept(ME, offer, asked_at=9.5)
+    borrower.accept(OWNER, offer, asked_at=9.5)
     assert borrower.take(10.0) == Slot(0, 9.5 + LOAN_SECONDS)
 
 
-def test_late_return_of_an_earlier_loan_does_nothing() -> None:
+def test_a_late_return_of_an_earlier_loan_is_ignored() -> None:
     lender = make_ledger(1)
     first = lender.lend(PEER, 1, 'a', 0.0)
     assert first is not None
@@ -509,7 +512,7 @@
     assert lender.available(0.0) == 0
 
 
-def test_retired_token_comes_back_while_lent_without_being_doubled() -> None:
+def test_a_lent_token_is_not_duplicated_when_reinstated() -> None:
     lender = make_ledger(1)
     lender.lend(PEER, 1, 'a', 0.0)
     lender.retire(0)
--- a/tests/unit/test_peer_forwarding.py
+++ b/tests/unit/test_peer_forwarding.py
@@ -1,4 +1,4 @@
-"""Which host takes a request that another cannot send to an upstream."""
+"""Choice of the peer to which a request is forwarded, and its encoding."""
 
 from collections import Counter
 from random import Random
@@ -26,72 +26,80 @@
 FAR = PeerCandidate('far', 'b1')
 
 
-def ask(**fields: frozenset[str]) -> PeerRequirements:
+def requirements(**fields: frozenset[str]) -> PeerRequirements:
     return PeerRequirements('a', frozenset((ALL, VIEWS)), **fields)
 
 
 @pytest.mark.parametrize(
-    ('helpers', 'wanted', 'chosen'),
+    ('peers', 'required', 'chosen'),
     [
-        ([NEAR, FAR], ask(), 'near'),
-        ([FAR], ask(), 'far'),
-        ([], ask(), None),
-        # Who is cut off as well, from everything or from the service.
-        ([PeerCandidate('near', 'a2', (ALL,)), FAR], ask(), 'far'),
-        ([PeerCandidate('near', 'a2', (VIEWS,)), FAR], ask(), 'far'),
+        ([NEAR, FAR], requirements(), 'near'),
+        ([FAR], requirements(), 'far'),
+        ([], requirements(), None),
+        # Peers that are cut off too, from all upstreams or from the service.
+        ([PeerCandidate('near', 'a2', (ALL,)), FAR], requirements(), 'far'),
+        ([PeerCandidate('near', 'a2', (VIEWS,)), FAR], requirements(), 'far'),
         (
             [PeerCandidate('near', 'a2', (service_group('other'),)), FAR],
-            ask(),
+            requirements(),
             'far',
         ),
         (
             [PeerCandidate('near', 'a2', (service_group('other'),))],
-            ask(),
+            requirements(),
             'near',
         ),
-        ([PeerCandidate('near', 'a2', (ALL,))], ask(), None),
-        # Whom nobody hears, only after all who are heard.
-        ([PeerCandidate('near', 'a2', is_heard=False), FAR], ask(), 'far'),
-        ([PeerCandidate('near', 'a2', is_heard=False)], ask(), 'near'),
-        # Whoever is busy after whoever is not, but not after another region.
+        ([PeerCandidate('near', 'a2', (ALL,))], requirements(), None),
+        # A peer that is not heard only if no other is.
+        (
+            [PeerCandidate('near', 'a2', is_heard=False), FAR],
+            requirements(),
+            'far',
+        ),
+        ([PeerCandidate('near', 'a2', is_heard=False)], requirements(), 'near'),
+        # A busy peer after those that are not, but before other regions.
         (
             [
                 PeerCandidate('near', 'a2', is_busy=True),
                 PeerCandidate('x', 'a1'),
             ],
-            ask(),
+            requirements(),
             'x',
         ),
-        ([PeerCandidate('near', 'a2', is_busy=True), FAR], ask(), 'near'),
-        # A body goes to no host outside the regions that may serve it.
-        ([NEAR, FAR], ask(permitted_regions=frozenset('b')), 'far'),
-        ([NEAR], ask(permitted_regions=frozenset('b')), None),
-        ([NEAR, FAR], ask(tried=frozenset(('near',))), 'far'),
+        (
+            [PeerCandidate('near', 'a2', is_busy=True), FAR],
+            requirements(),
+            'near',
+        ),
+        # A request body goes to no host outside the permitted regions.
+        ([NEAR, FAR], requirements(permitted_regions=frozenset('b')), 'far'),
+        ([NEAR], requirements(permitted_regions=frozenset('b')), None),
+        ([NEAR, FAR], requirements(tried=frozenset(('near',))), 'far'),
     ],
 )
-def test_the_nearest_host_that_reaches_upstreams_takes_it(
-    helpers: list[PeerCandidate],
-    wanted: PeerRequirements,
+def test_the_nearest_peer_that_reaches_the_upstreams_is_chosen(
+    peers: list[PeerCandidate],
+    required: PeerRequirements,
     chosen: str | None,
 ) -> None:
-    found = choose_peer(helpers, wanted, REGIONS, Random(1))
+    found = choose_peer(peers, required, REGIONS, Random(1))
     assert (found and found.name) == chosen
 
 
 @pytest.mark.parametrize('seed', range(5))
-def test_help_is_spread_by_load(seed: int) -> None:
+def test_requests_are_spread_over_peers_by_load(seed: int) -> None:
     random = Random(seed)
     loads = dict.fromkeys(('a', 'b', 'c', 'd'), 0.0)
-    taken = Counter[str]()
+    forwarded = Counter[str]()
     for _ in range(400):
-        helpers = [
+        peers = [
             PeerCandidate(name, 'a1', load=load) for name, load in loads.items()
         ]
-        chosen = choose_peer(helpers, ask(), REGIONS, random)
+        chosen = choose_peer(peers, requirements(), REGIONS, random)
         assert chosen is not None
-        taken[chosen.name] += 1
+        forwarded[chosen.name] += 1
         loads[chosen.name] += 1
-    assert max(taken.values()) - min(taken.values()) <= 10
+    assert max(forwarded.values()) - min(forwarded.values()) <= 10
 
 
 REQUEST = RelayedRequest(
@@ -119,7 +127,7 @@
 )
 
 
-def test_what_two_hosts_tell_each_other_arrives_as_it_was() -> None:
+def test_relayed_requests_and_answers_survive_encoding() -> None:
     assert decode_request(encode_request(REQUEST)) == REQUEST
     assert decode_answer(encode_answer(ANSWER)) == ANSWER
 
@@ -127,5 +135,7 @@
 @pytest.mark.parametrize(
     'document', [b'', b'\x00', b'\x80', b'\x81\x18\x63', encode_answer(ANSWER)]
 )
-def test_what_is_no_relayed_request_is_not_read(document: bytes) -> None:
+def test_a_document_that_is_no_relayed_request_is_rejected(
+    document: bytes,
+) -> None:
     assert decode_request(document) is None
