--- a/src/wardstair/decisions/peer_forwarding.py
+++ b/src/wardstair/decisions/peer_forwarding.py
@@ -19,8 +19,8 @@
         name: Name of the host.
         zone: Its availability zone.
         lost: Groups of upstreams that it reports as unreachable.
-        is_heard: Whether this host receives its heartbeats. Otherwise only its
-            name is known, from another host.
+        is_heard: Whether this host receives its heartbeats. Otherwise another
+            host has named it, and its state is unknown.
         is_busy: Whether it reports that it is short of processor time.
         load: Requests per second and processor core.
     """
