--- a/src/wardstair/decisions/entry_expiry.py
+++ b/src/wardstair/decisions/entry_expiry.py
@@ -29,13 +29,13 @@
     """How long entries take to expire and to return.
 
     Attributes:
-        harmless_seconds: Longest outage of the store during which no entry
-            expires.
+        tolerated_outage_seconds: Longest outage of the store during which no
+            entry expires.
         return_seconds: Time after the end of an outage within which all
             running upstreams have entries again.
     """
 
-    harmless_seconds: float
+    tolerated_outage_seconds: float
     return_seconds: float
 
 
@@ -53,6 +53,6 @@
     """
     return any(
         contact.begin <= now - times.return_seconds
-        and contact.end >= now - times.harmless_seconds
+        and contact.end >= now - times.tolerated_outage_seconds
         for contact in contacts
     )
