--- a/src/wardstair/decisions/attempts.py
+++ b/src/wardstair/decisions/attempts.py
@@ -1,8 +1,8 @@
-"""What an attempt at an upstream proves about the request.
+"""Outcomes of attempts at an upstream, and whether the request may have run.
 
-"Not run" is said only where it is proved: no byte of the request left this
-host, or the upstream itself said so. Everything else that ends without a
-whole answer may have run.
+A request counts as not run only if that is certain: no byte of it left this
+host, or the upstream answered that it did not run it. Any other attempt that
+ends without a complete answer may have run.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """The whole answer arrived."""
+    """The complete answer arrived."""
 
     status: int
 
@@ -33,12 +33,13 @@
 
 
 @dataclass(frozen=True)
-class Broken:
-    """Bytes left, and no whole answer came.
+class IncompleteAnswer:
+    """Bytes of the request were sent, but no complete answer arrived.
 
     Attributes:
-        answer_begun: Whether the answer's headers had gone to the caller.
-        timed_out: Whether time ran out, as against a broken connection.
+        answer_begun: Whether the answer's headers were sent to the caller.
+        timed_out: Whether the attempt timed out; otherwise the connection
+            broke.
     """
 
     answer_begun: bool = False
@@ -46,31 +47,36 @@
 
 
 @dataclass(frozen=True)
-class Foreign:
-    """The answer named another request than the one sent."""
+class MismatchedAnswer:
+    """The request ID in the answer is not that of the request sent."""
 
 
 @dataclass(frozen=True)
 class Abandoned:
-    """The caller left before the answer was whole."""
+    """The caller disconnected before the answer was complete."""
 
 
 AttemptOutcome = (
-    Answered | DeclaredNotRun | NeverSent | Broken | Foreign | Abandoned
+    Answered
+    | DeclaredNotRun
+    | NeverSent
+    | IncompleteAnswer
+    | MismatchedAnswer
+    | Abandoned
 )
 
 
 def may_have_run(outcome: AttemptOutcome) -> bool:
-    """Return False only if the attempt provably did not run."""
+    """Return False only if the request certainly did not run."""
     match outcome:
         case DeclaredNotRun() | NeverSent():
             return False
-        case Answered() | Broken() | Foreign() | Abandoned():
+        case Answered() | IncompleteAnswer() | MismatchedAnswer() | Abandoned():
             return True
 
 
 def retry_reason(outcome: AttemptOutcome) -> RetryReason | None:
-    """Return why another attempt could help, or None if it cannot."""
+    """Return the reason for a retry, or None if a retry cannot help."""
     match outcome:
         case NeverSent(timed_out=True):
             return RetryReason.connect_timeout
@@ -78,9 +84,9 @@
             return RetryReason.connect_refused
         case DeclaredNotRun():
             return RetryReason.upstream_not_run
-        case Broken(answer_begun=False, timed_out=False):
+        case IncompleteAnswer(answer_begun=False, timed_out=False):
             return RetryReason.answer_lost
-        case Foreign():
+        case MismatchedAnswer():
             return RetryReason.upstream_error
-        case Answered() | Broken() | Abandoned():
+        case Answered() | IncompleteAnswer() | Abandoned():
             return None
