--- a/src/wardstair/gateway/bodies.py
+++ b/src/wardstair/gateway/bodies.py
@@ -18,15 +18,15 @@
 
 
 @dataclass(slots=True)
-class BodyRoom:
+class BodyCapacity:
     """Room for bodies; one a process.
 
     Attributes:
-        most: Bytes that may be held.
+        max_bytes: Bytes that may be held.
         held: Bytes that are held now.
     """
 
-    most: int
+    max_bytes: int
     held: int = 0
 
     def take(self, amount: int) -> bool:
@@ -35,7 +35,7 @@
         Args:
             amount: Bytes.
         """
-        if self.held + amount > self.most:
+        if self.held + amount > self.max_bytes:
             return False
         self.held += amount
         return True
@@ -49,11 +49,11 @@
         self.held -= amount
 
 
-def body_room(memory_bytes: int) -> BodyRoom:
+def body_capacity(memory_bytes: int) -> BodyCapacity:
     """Return the room of a process.
 
     Args:
         memory_bytes: Memory that the process may use.
     """
     left = (memory_bytes - BASE_BYTES) // COPIES
-    return BodyRoom(max(LEAST_BYTES, left))
+    return BodyCapacity(max(LEAST_BYTES, left))
--- a/src/wardstair/gateway/callers.py
+++ b/src/wardstair/gateway/callers.py
@@ -25,7 +25,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from wardstair.gateway import refusals
-from wardstair.gateway.bodies import BodyRoom
+from wardstair.gateway.bodies import BodyCapacity
 from wardstair.gateway.messages import Inbound, Reply
 from wardstair.platform.headers import decode_caller
 from wardstair.process.log import log_warning
@@ -43,7 +43,7 @@
     def __init__(
         self,
         serve: Serve,
-        bodies: BodyRoom,
+        bodies: BodyCapacity,
         on_refused: OnRefused,
     ) -> None:
         """Prepare for connections.
@@ -106,7 +106,7 @@
             async with asyncio.timeout(max(seconds, 0)):
                 await self._is_idle.wait()
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Close the connections on which no request is open."""
         busy = {id(exchange.stream) for exchange in self._open_requests}
         for connection in tuple(self._connections):
--- a/src/wardstair/gateway/choosing.py
+++ b/src/wardstair/gateway/choosing.py
@@ -29,10 +29,10 @@
 from wardstair.decisions.route_work import RouteWork
 from wardstair.gateway.cold_sends import ColdSends
 from wardstair.gateway.distances import Distances
-from wardstair.gateway.homes import Haul, Homes, KeyAsk
+from wardstair.gateway.key_ranking import KeyRanking, RankingQuery, TransferSize
 from wardstair.gateway.limited_sends import MOST_WAIT_SECONDS, LimitedSends
 from wardstair.gateway.settings import LiveSettings
-from wardstair.gateway.splitting import Splits
+from wardstair.gateway.splitting import TrafficSplitter
 from wardstair.process.log import log_event
 from wardstair.state.belief import Belief
 from wardstair.state.upstream import Upstream
@@ -134,14 +134,14 @@
         self._settings = settings
         self._belief = belief
         self._distances = distances
-        self._homes = Homes(settings, belief)
+        self._homes = KeyRanking(settings, belief)
         self.cold_sends = ColdSends(settings, belief, lambda: self.view)
         self.load_view = LoadView(own.name, own.zone)
         self.limited_sends = LimitedSends(
             belief.limits,
             lambda: self.load_view,
         )
-        self.splits = Splits()
+        self.splitter = TrafficSplitter()
         self.assumed_cold = Counter[ColdReason]()
         self._work: dict[str, RouteWork] = {}
 
@@ -151,7 +151,7 @@
 
     def service_of(self, route: SteeredRoute, key: str) -> str:
         """Return the service for a request; a split route's by weight."""
-        return self.splits.service_of(route, key)
+        return self.splitter.service_of(route, key)
 
     def work_of(self, route: SteeredRoute) -> RouteWork:
         """Return the usual work of a route."""
@@ -162,7 +162,7 @@
             self._work[route.name] = known
         return known
 
-    def suspect_new_life(
+    def assume_cold(
         self,
         upstream: Upstream,
         reason: ColdReason,
@@ -319,9 +319,9 @@
             return None
         return min(return_after(left), MOST_WAIT_SECONDS)
 
-    def _key_ask(self, ask: Ask) -> KeyAsk:
+    def _key_ask(self, ask: Ask) -> RankingQuery:
         name = ask.route.name
-        return KeyAsk(
+        return RankingQuery(
             ask.service,
             ask.key,
             ask.regions,
@@ -336,11 +336,11 @@
             return ranked
         return willing([(one, notices.standing(one)) for one in ranked])
 
-    def _haul_of(self, ask: Ask) -> Haul:
+    def _haul_of(self, ask: Ask) -> TransferSize:
         if ask.is_large:
-            return Haul.large
+            return TransferSize.large
         is_heavy = self.work_of(ask.route).is_heavy
-        return Haul.heavy if is_heavy else Haul.light
+        return TransferSize.heavy if is_heavy else TransferSize.light
 
     def _choose_among(
         self,
--- a/src/wardstair/gateway/endpoints.py
+++ b/src/wardstair/gateway/endpoints.py
@@ -11,8 +11,8 @@
 from wardstair.fleet.members import Members
 from wardstair.fleet.naming import NamedHost, name_hosts
 from wardstair.fleet.sharing import decode_versions
-from wardstair.gateway.handing_on import RELAY_PATH
-from wardstair.gateway.relay_server import RelayHandler, RelayServer
+from wardstair.gateway.peer_forwarding import PEER_REQUEST_PATH
+from wardstair.gateway.peer_server import PeerRequestHandler, PeerRequestServer
 from wardstair.gateway.settings import LiveSettings
 from wardstair.platform.lookups import (
     LOOKUP_PATH,
@@ -188,7 +188,7 @@
 def state_application(
     exchange: StateExchange,
     suspects: SuspectTable,
-    relays: RelayServer,
+    relays: PeerRequestServer,
 ) -> Application:
     """Return the endpoint for other entry hosts, and for operators.
 
@@ -201,7 +201,7 @@
         [
             (STATE_PATH, _StateHandler, {'exchange': exchange}),
             (SUSPECTS_PATH, _SuspectsHandler, {'suspects': suspects}),
-            (RELAY_PATH, RelayHandler, {'server': relays}),
+            (PEER_REQUEST_PATH, PeerRequestHandler, {'server': relays}),
         ],
         log_function=_no_log,
     )
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -24,25 +24,25 @@
 from wardstair.gateway import refusals
 from wardstair.gateway.admission import Admission
 from wardstair.gateway.choosing import Ask, Chooser, Placement
-from wardstair.gateway.course import Course, ResendReason
-from wardstair.gateway.handing_on import Handover, HopEnd, HopOutcome
 from wardstair.gateway.learning import Learner, is_failure
 from wardstair.gateway.messages import Inbound, Reply
-from wardstair.gateway.relayed import (
+from wardstair.gateway.peer_forwarding import HopEnd, HopOutcome, PeerForwarder
+from wardstair.gateway.peer_messages import (
     answer_of,
     inbound_of,
     refusal_of,
     relayed_of,
     reply_of,
 )
-from wardstair.gateway.reporting import Reporter, Trail
+from wardstair.gateway.reporting import AttemptHistory, Reporter
+from wardstair.gateway.request_progress import RequestProgress, ResendReason
 from wardstair.gateway.sending import (
     Barred,
     Delivered,
     Lost,
     NotSent,
+    Rejected,
     Sender,
-    TurnedAway,
     Withheld,
 )
 from wardstair.gateway.settings import LiveSettings
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaysOut:
+class Transports:
     """Where requests leave this host.
 
     Attributes:
@@ -80,7 +80,7 @@
     """
 
     sender: Sender
-    handover: Handover
+    handover: PeerForwarder
 
 
 class Forwarder:
@@ -90,7 +90,7 @@
         self,
         belief: Belief,
         chooser: Chooser,
-        ways: WaysOut,
+        ways: Transports,
         settings: LiveSettings,
         reporter: Reporter,
         witness: Witness,
@@ -109,7 +109,7 @@
         """
         self._handover = ways.handover
         # Requests that another host may be asked for as well.
-        self._waiting: set[Course] = set()
+        self._waiting: set[RequestProgress] = set()
         self._witness = witness
         self._admission = admission
         self._belief = belief
@@ -139,12 +139,14 @@
             return admitted
         course = self._begin(inbound, route, steering, admitted.organisation)
         if course.regions is NO_REGION:
-            return self._end(course, refusals.NO_HOME)
+            return self._end(course, refusals.NO_PERMITTED_REGION)
         if self._is_held(inbound):
             return self._hold(course)
         return await self._carry(course)
 
-    async def serve_relayed(self, relayed: RelayedRequest) -> RelayedAnswer:
+    async def serve_peer_request(
+        self, relayed: RelayedRequest
+    ) -> RelayedAnswer:
         """Carry a request that another host has handed on.
 
         That host has authorised it and counted it against the quota. It is not
@@ -166,13 +168,13 @@
             return answer_of(reply, reach.lost | unreached)
         return answer_of(reply, reach.lost)
 
-    def hand_on_waiting(self) -> None:
+    def forward_waiting(self) -> None:
         """Have other hosts asked for what may wait here in vain."""
         for course in self._waiting:
             if course.doubt is not None and not course.doubt.done():
                 course.doubt.set_result(None)
 
-    async def _carry(self, course: Course) -> Reply:
+    async def _carry(self, course: RequestProgress) -> Reply:
         if course.route.is_repeatable and not course.is_relayed:
             course.doubt = asyncio.get_running_loop().create_future()
             self._waiting.add(course)
@@ -185,7 +187,7 @@
             if not course.is_ended:
                 self._reporter.caller_left(course.trail)
 
-    def _begin_relayed(self, relayed: RelayedRequest) -> Course | None:
+    def _begin_relayed(self, relayed: RelayedRequest) -> RequestProgress | None:
         """Begin a request of another host; None if this one lacks its state."""
         steering = self._belief.steering
         if steering is None or steering.version < relayed.version:
@@ -210,19 +212,19 @@
         steering: Steering,
         organisation: Organisation | None,
         chosen: str = '',
-    ) -> Course:
+    ) -> RequestProgress:
         key = inbound.key or inbound.request_id
         service = chosen or self._chooser.service_of(route, key)
         if len(route.shares) > 1 and not chosen:
             self._reporter.divided(route, service)
         seconds = min(inbound.seconds, route.timeout)
-        return Course(
+        return RequestProgress(
             inbound=inbound,
             route=route,
             service=service,
             key=key,
             until=inbound.received_at + seconds - ANSWER_SECONDS,
-            trail=Trail(inbound, route, steering.version, service),
+            trail=AttemptHistory(inbound, route, steering.version, service),
             organisation=organisation,
             regions=regions_of(route, organisation),
         )
@@ -232,7 +234,7 @@
         # The digest is only worked out while something is held.
         return bool(held) and inbound.identity in held
 
-    def _hold(self, course: Course) -> Reply:
+    def _hold(self, course: RequestProgress) -> Reply:
         """Refuse a request that ends upstreams; nobody has been sent this try.
 
         One such request ended 33 upstreams within 16 s; in five of these
@@ -243,13 +245,13 @@
         ending = replace(refusals.ENDS_UPSTREAMS, retry_after=seconds)
         return self._end(course, ending)
 
-    def _is_suspect(self, course: Course) -> bool:
+    def _is_suspect(self, course: RequestProgress) -> bool:
         witness = self._witness
         return not witness.is_idle and witness.is_suspect(
             course.inbound.identity,
         )
 
-    async def _run(self, course: Course) -> Reply:
+    async def _run(self, course: RequestProgress) -> Reply:
         reply = self._send_next(course)
         while reply is None:
             done, _ = await asyncio.wait(
@@ -269,7 +271,7 @@
                 self._hedge(course)
         return reply
 
-    def _patience(self, course: Course) -> float:
+    def _patience(self, course: RequestProgress) -> float:
         """Return how long to wait for the running sends, in seconds."""
         now = time.monotonic()
         left = max(0.0, course.until - now)
@@ -279,7 +281,7 @@
         expected = placement.choice.seconds
         return min(left, hedge_after(expected, placement.longest))
 
-    def _may_hedge(self, course: Course) -> bool:
+    def _may_hedge(self, course: RequestProgress) -> bool:
         return (
             self._settings.current.uses(Mechanism.hedging)
             and course.route.is_repeatable
@@ -289,7 +291,7 @@
             and not self._is_suspect(course)
         )
 
-    def _hedge(self, course: Course) -> None:
+    def _hedge(self, course: RequestProgress) -> None:
         if not self._may_hedge(course):
             return
         if self._needs_help(course) and self._take_resend(course):
@@ -304,7 +306,7 @@
 
     def _settle(
         self,
-        course: Course,
+        course: RequestProgress,
         done: 'set[asyncio.Future[Any]]',
     ) -> Reply | None:
         """Take in sends that have ended; None while there is hope."""
@@ -324,7 +326,7 @@
                     return self._deliver(course, placement, delivered)
                 case NotSent() | Withheld() | Barred() as unsent:
                     reason = self._take_back(course, placement, unsent)
-                case TurnedAway(load=load):
+                case Rejected(load=load):
                     course.met_room = load is not None and load.has_room
                     reason = ResendReason.turned_away
                 case Lost():
@@ -335,7 +337,7 @@
 
     def _take_back(
         self,
-        course: Course,
+        course: RequestProgress,
         placement: Placement,
         unsent: NotSent | Withheld | Barred,
     ) -> ResendReason:
@@ -350,11 +352,13 @@
         course.trail.unreachable += 1
         return ResendReason.unreachable
 
-    def _may_improve(self, course: Course, delivered: Delivered) -> bool:
+    def _may_improve(
+        self, course: RequestProgress, delivered: Delivered
+    ) -> bool:
         """Return whether another upstream may do better than this answer."""
         return is_failure(delivered) and course.route.is_repeatable
 
-    def _time_out(self, course: Course) -> Reply:
+    def _time_out(self, course: RequestProgress) -> Reply:
         """End a request whose time is up while upstreams are at it."""
         now = time.monotonic()
         for placement in course.running.values():
@@ -362,11 +366,11 @@
         if course.failure is not None:
             return self._deliver(course, *course.failure)
         # What is running may have run: the answer promises nothing.
-        return self._end(course, refusals.TOO_LATE)
+        return self._end(course, refusals.DEADLINE_PASSED)
 
     def _send_again(
         self,
-        course: Course,
+        course: RequestProgress,
         reason: ResendReason,
     ) -> Reply | None:
         if course.may_have_run and not course.route.is_repeatable:
@@ -385,7 +389,7 @@
 
     def _send_next(
         self,
-        course: Course,
+        course: RequestProgress,
         reason: ResendReason | None = None,
     ) -> Reply | None:
         """Send to the next upstream; return the answer if there is none."""
@@ -407,7 +411,7 @@
         self._start(course, placement, reason)
         return None
 
-    def _place_on_way(self, course: Course) -> Placement | None:
+    def _place_on_way(self, course: RequestProgress) -> Placement | None:
         """Choose an upstream, while new connections fail one with an open one.
 
         Returns:
@@ -423,28 +427,28 @@
                 return None
         return None
 
-    def _has_way(self, course: Course, placement: Placement) -> bool:
+    def _has_way(self, course: RequestProgress, placement: Placement) -> bool:
         return self._sender.has_way(
             placement.upstream,
             is_once=not course.route.is_repeatable,
         )
 
-    def _bar(self, course: Course, placement: Placement) -> None:
+    def _bar(self, course: RequestProgress, placement: Placement) -> None:
         course.barred.add(placement.upstream.name)
         course.trail.unreachable += 1
 
-    def _is_within_reach(self, course: Course) -> bool:
+    def _is_within_reach(self, course: RequestProgress) -> bool:
         return self._belief.reach.is_sound or self._chooser.is_within_reach(
             self._ask(course),
         )
 
-    def _is_for_others(self, course: Course) -> bool:
+    def _is_for_others(self, course: RequestProgress) -> bool:
         """Return whether another host would rather reach an upstream."""
         if course.trail.unreachable >= UNREACHABLE_TO_HAND_ON:
             return True
         return not self._is_within_reach(course)
 
-    def _is_hopeless(self, course: Course) -> bool:
+    def _is_hopeless(self, course: RequestProgress) -> bool:
         """Return whether no upstream of a request is reached.
 
         Upstreams that come back are noticed by probes.
@@ -452,17 +456,17 @@
         is_lost = bool(self._belief.reach.lost)
         return is_lost and not self._is_within_reach(course)
 
-    def _needs_help(self, course: Course) -> bool:
+    def _needs_help(self, course: RequestProgress) -> bool:
         """Return whether another host may send it, and this one may not."""
         return self._is_for_others(course) and self._may_hand_on(course)
 
-    def _may_hand_on(self, course: Course) -> bool:
+    def _may_hand_on(self, course: RequestProgress) -> bool:
         if course.is_relayed or course.hops >= MOST_HOPS:
             return False
         found = self._handover.find(course.service, course.regions)
         return found is not None
 
-    def _ask_for_help(self, course: Course) -> Reply | None:
+    def _ask_for_help(self, course: RequestProgress) -> Reply | None:
         """Hand a request on; return the answer if it may not be sent again."""
         if not self._may_hand_on(course):
             return self._give_up(course)
@@ -471,13 +475,13 @@
         self._hand_on(course)
         return None
 
-    def _hand_on(self, course: Course) -> None:
+    def _hand_on(self, course: RequestProgress) -> None:
         course.hops += 1
         course.hop = asyncio.ensure_future(
             self._handover.send(lambda: relayed_of(course), course.regions),
         )
 
-    def _hand_on_waiting(self, course: Course) -> None:
+    def _hand_on_waiting(self, course: RequestProgress) -> None:
         course.doubt = None
         may_send = course.sends < course.route.most_attempts
         if not (may_send and course.running and self._needs_help(course)):
@@ -485,7 +489,7 @@
         if not self._is_suspect(course) and self._take_resend(course):
             self._hand_on(course)
 
-    def _settle_hop(self, course: Course) -> Reply | None:
+    def _settle_hop(self, course: RequestProgress) -> Reply | None:
         """Take in the outcome of a hop; None while there is hope."""
         assert course.hop is not None
         outcome = course.hop.result()
@@ -500,7 +504,9 @@
                 course.sends += 1
         return None if course.running else self._after_hop(course, outcome)
 
-    def _after_hop(self, course: Course, outcome: HopOutcome) -> Reply | None:
+    def _after_hop(
+        self, course: RequestProgress, outcome: HopOutcome
+    ) -> Reply | None:
         """Go on after a hop that brought no answer of an upstream."""
         match outcome:
             case HopOutcome(end=HopEnd.unsent):
@@ -516,15 +522,15 @@
                 return reply_of(refusal)
         return self._give_up(course)
 
-    def _queue_share(self, course: Course) -> float:
+    def _queue_share(self, course: RequestProgress) -> float:
         organisation = course.organisation
         priority = None if organisation is None else organisation.priority
         return queue_share(course.route.priority, priority)
 
-    def _place(self, course: Course) -> Placement | None:
+    def _place(self, course: RequestProgress) -> Placement | None:
         return self._chooser.choose(self._ask(course))
 
-    def _ask(self, course: Course) -> Ask:
+    def _ask(self, course: RequestProgress) -> Ask:
         return Ask(
             route=course.route,
             service=course.service,
@@ -539,7 +545,7 @@
 
     def _start(
         self,
-        course: Course,
+        course: RequestProgress,
         placement: Placement,
         reason: ResendReason | None,
     ) -> None:
@@ -564,7 +570,7 @@
 
     def _tell_notice(
         self,
-        course: Course,
+        course: RequestProgress,
         upstream: Upstream,
         reason: ResendReason | None,
     ) -> None:
@@ -578,7 +584,7 @@
                 course.trail, upstream, standing, way
             )
 
-    def _take_resend(self, course: Course) -> bool:
+    def _take_resend(self, course: RequestProgress) -> bool:
         bounds = self._settings.current.bounds
         fleet = ResendLimit(
             bounds.retry_ratio,
@@ -591,12 +597,12 @@
             self._reporter.withheld(course.trail, 'budget-spent')
         return taken
 
-    def _budget(self, course: Course) -> ResendBudget:
+    def _budget(self, course: RequestProgress) -> ResendBudget:
         return self._budgets.setdefault(course.service, ResendBudget())
 
     def _deliver(
         self,
-        course: Course,
+        course: RequestProgress,
         placement: Placement,
         delivered: Delivered,
     ) -> Reply:
@@ -615,7 +621,7 @@
             answer.body,
         )
 
-    def _give_up(self, course: Course) -> Reply:
+    def _give_up(self, course: RequestProgress) -> Reply:
         if course.failure is not None:
             return self._deliver(course, *course.failure)
         if course.may_have_run:
@@ -624,7 +630,7 @@
             return self._end(course, refusals.NO_UPSTREAM)
         return self._end(course, self._no_room(course))
 
-    def _no_room(self, course: Course) -> refusals.Ending:
+    def _no_room(self, course: RequestProgress) -> refusals.Refusal:
         """Return how a request ends that no upstream has run."""
         ask = self._ask(course)
         if self._chooser.have_all_left(ask):
@@ -637,7 +643,7 @@
             return replace(refusals.LIMITS_REACHED, retry_after=wait)
         return refusals.TURNED_AWAY if course.met_room else refusals.OVERLOADED
 
-    def _end(self, course: Course, ending: refusals.Ending) -> Reply:
+    def _end(self, course: RequestProgress, ending: refusals.Refusal) -> Reply:
         course.is_ended = True
         if ending.status == refusals.NOT_RUN and not course.is_relayed:
             self._admission.give_back(course.organisation)
@@ -646,7 +652,7 @@
         self._reporter.refused(course.trail, ending.kind, known, left)
         return ending.reply(course.inbound.request_id)
 
-    def _refuse(self, inbound: Inbound, ending: refusals.Ending) -> Reply:
+    def _refuse(self, inbound: Inbound, ending: refusals.Refusal) -> Reply:
         """Refuse a request that no route was found for."""
         version = self._belief.versions.configuration
         self._reporter.unrouted(inbound, ending.kind, version)
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -22,7 +22,7 @@
 from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
 from wardstair.gateway.admission import Admission
 from wardstair.gateway.authorising import Authoriser
-from wardstair.gateway.bodies import body_room
+from wardstair.gateway.bodies import body_capacity
 from wardstair.gateway.callers import CallerListener
 from wardstair.gateway.choosing import Chooser
 from wardstair.gateway.distances import Distances
@@ -34,16 +34,16 @@
     state_application,
 )
 from wardstair.gateway.fleet_views import FleetViews
-from wardstair.gateway.forwarding import Forwarder, WaysOut
+from wardstair.gateway.forwarding import Forwarder, Transports
 from wardstair.gateway.gauges import add_gauges
-from wardstair.gateway.handing_on import Handover
 from wardstair.gateway.listeners import Listeners
 from wardstair.gateway.lives import LifeEnds
 from wardstair.gateway.messages import Inbound, Reply
 from wardstair.gateway.news import NewsSender
+from wardstair.gateway.peer_forwarding import PeerForwarder
+from wardstair.gateway.peer_server import PeerRequestServer
 from wardstair.gateway.quotas import Quotas
 from wardstair.gateway.reaching import ReachKeeper
-from wardstair.gateway.relay_server import RelayServer
 from wardstair.gateway.reporting import Reporter
 from wardstair.gateway.sending import Sender
 from wardstair.gateway.settings import (
@@ -207,7 +207,7 @@
         )
         distances = Distances(self.live_settings)
         self.pool = UpstreamPool(self._most_connections)
-        self.handover = Handover(
+        self.handover = PeerForwarder(
             self.members,
             self.live_settings,
             settings.fleet_ports[0],
@@ -285,7 +285,7 @@
         self.forwarder = Forwarder(
             self.belief,
             self.chooser,
-            WaysOut(
+            Transports(
                 Sender(self.pool, distances, self.belief),
                 self.handover,
             ),
@@ -299,14 +299,16 @@
                 reporter,
             ),
         )
-        self.reach_keeper.on_doubt = self.forwarder.hand_on_waiting
+        self.reach_keeper.on_doubt = self.forwarder.forward_waiting
         self.directory = Directory(self.live_settings, own, self.members)
         self.callers = CallerListener(
             self._serve_caller,
-            body_room(settings.memory_bytes),
-            reporter.unheld,
+            body_capacity(settings.memory_bytes),
+            reporter.body_refused,
+        )
+        self.relays = PeerRequestServer(
+            self._serve_peer_request, self.callers.bodies
         )
-        self.relays = RelayServer(self._serve_relayed, self.callers.bodies)
         self.views = FleetViews(self.members, self.loads, self.chooser)
         self.views.refresh()
         add_gauges(self)
@@ -388,7 +390,7 @@
         log_event('host-stopping', open=self.callers.open_count)
         await asyncio.sleep(LINGER_SECONDS)
         self._listeners.stop_callers()
-        self.callers.close_resting()
+        self.callers.close_idle()
         grace = self.live_settings.current.bounds.grace_seconds
         end = began + grace - GRACE_LEFT_SECONDS
         self.relays.is_stopping = True
@@ -441,7 +443,7 @@
     def _on_steering(self) -> None:
         steering = self.belief.steering
         assert steering is not None
-        self.chooser.splits.follow(steering.routes)
+        self.chooser.splitter.drop_unsplit(steering.routes)
         self.quotas.forget(steering.organisations.by_name)
         self._listeners.limit_callers(steering.limits)
 
@@ -536,9 +538,11 @@
             self.loads.note_request()
         return await self.forwarder.serve(inbound)
 
-    async def _serve_relayed(self, relayed: RelayedRequest) -> RelayedAnswer:
+    async def _serve_peer_request(
+        self, relayed: RelayedRequest
+    ) -> RelayedAnswer:
         self.loads.note_request()
-        return await self.forwarder.serve_relayed(relayed)
+        return await self.forwarder.serve_peer_request(relayed)
 
     def _on_reach(self) -> None:
         """Have others know what this host does not reach."""
--- a/src/wardstair/gateway/homes.py
+++ b/src/wardstair/gateway/key_ranking.py
@@ -31,12 +31,12 @@
 # that began with the loss of a zone's upstreams (one play each). What is
 # gained is the way between regions: 40 ms of an objective of 250 ms, and a
 # sixth of the bytes on it.
-KEPT = Kept(most=0.7, fullness=1.0)
+LOCAL_KEY_LIMITS = Kept(most=0.7, fullness=1.0)
 # While a route moves between regions its keys are ranked anew this often.
 MOVE_STEP_SECONDS = 0.25
 
 
-class Haul(Enum):
+class TransferSize(Enum):
     """What a request weighs on the way, with factors by place.
 
     Light ones are ranked almost alike in a whole region: callers move between
@@ -52,25 +52,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyAsk:
+class RankingQuery:
     """What upstreams are ranked for.
 
     Attributes:
         service: The service.
         key: What the request concerns.
         regions: The only regions that may serve it; empty for all.
-        haul: What it weighs on the way.
+        transfer_size: What it weighs on the way.
         route: Its route while that moves between regions, else empty.
     """
 
     service: str
     key: str
     regions: frozenset[str]
-    haul: Haul
+    transfer_size: TransferSize
     route: str = ''
 
 
-class Homes:
+class KeyRanking:
     """Ranks upstreams for keys; one a process."""
 
     def __init__(self, settings: LiveSettings, belief: Belief) -> None:
@@ -82,8 +82,10 @@
         """
         self._settings = settings
         self._belief = belief
-        self._ranked: dict[KeyAsk, list[Upstream]] = {}
-        self._near: dict[tuple[str, frozenset[str], Haul], Nearness] = {}
+        self._ranked: dict[RankingQuery, list[Upstream]] = {}
+        self._near: dict[
+            tuple[str, frozenset[str], TransferSize], Nearness
+        ] = {}
         self._moves = RegionMoves()
         self._now = 0.0
         self._moved_at = 0.0
@@ -91,7 +93,7 @@
         self._ranked_by = settings.current
         self._stepped_at = 0.0
 
-    def ranked(self, ask: KeyAsk) -> list[Upstream]:
+    def ranked(self, ask: RankingQuery) -> list[Upstream]:
         """Return the upstreams that may serve a key, its home first."""
         self._forget_old()
         known = self._ranked.get(ask)
@@ -166,7 +168,7 @@
     ) -> float | None:
         """Return the share of a service's requests that run in the region."""
         self._forget_old()
-        ask = KeyAsk(service, '', route.regions, Haul.light)
+        ask = RankingQuery(service, '', route.regions, TransferSize.light)
         upstreams = self._allowed(ask)
         if not upstreams:
             return None
@@ -215,14 +217,14 @@
         if changed:
             self._ranked.clear()
 
-    def _allowed(self, ask: KeyAsk) -> list[Upstream]:
+    def _allowed(self, ask: RankingQuery) -> list[Upstream]:
         return [
             upstream
             for upstream in self._belief.catalog.of_service(ask.service)
             if self._is_allowed(ask.regions, upstream)
         ]
 
-    def _rank(self, ask: KeyAsk) -> list[Upstream]:
+    def _rank(self, ask: RankingQuery) -> list[Upstream]:
         upstreams = self._allowed(ask)
         nearness = self._nearness(ask, upstreams)
         offset = self._offset(ask.route)
@@ -260,19 +262,21 @@
             return True
         return self._settings.current.zones.get(zone) in regions
 
-    def _nearness(self, ask: KeyAsk, upstreams: list[Upstream]) -> Nearness:
+    def _nearness(
+        self, ask: RankingQuery, upstreams: list[Upstream]
+    ) -> Nearness:
         """Return the factors for one kind of request."""
-        plain: Nearness = ask.haul.value
+        plain: Nearness = ask.transfer_size.value
         uses = self._settings.current.uses(Mechanism.near_homes)
-        if not uses or ask.haul is Haul.large:
+        if not uses or ask.transfer_size is TransferSize.large:
             return plain
-        name = (ask.service, ask.regions, ask.haul)
+        name = (ask.service, ask.regions, ask.transfer_size)
         known = self._near.get(name)
         if known is None:
             factor = near_factor(
                 self._parts(upstreams),
                 self._settings.current.region,
-                KEPT,
+                LOCAL_KEY_LIMITS,
             )
             factor *= self._zone_correction(plain, upstreams)
             ratio = plain.zone / plain.region
--- a/src/wardstair/gateway/learning.py
+++ b/src/wardstair/gateway/learning.py
@@ -8,13 +8,13 @@
 from wardstair.decisions.mechanisms import Mechanism
 from wardstair.decisions.placement import expected_seconds
 from wardstair.gateway.choosing import Chooser, ColdReason, Placement
-from wardstair.gateway.reporting import Trail
+from wardstair.gateway.reporting import AttemptHistory
 from wardstair.gateway.sending import (
     Delivered,
     Lost,
     NotSent,
+    Rejected,
     SendOutcome,
-    TurnedAway,
 )
 from wardstair.gateway.settings import LiveSettings
 from wardstair.gateway.witness import Witness
@@ -50,7 +50,7 @@
     placement: Placement
     route: SteeredRoute
     key: str
-    trail: Trail
+    trail: AttemptHistory
 
 
 def is_failure(delivered: Delivered) -> bool:
@@ -103,18 +103,18 @@
                     upstream.note_error(now)
                 else:
                     self._learn_time(case, seconds, now)
-            case TurnedAway(is_other=True):
+            case Rejected(is_misdirected=True):
                 self._catalog.mark_gone(upstream.name)
-            case TurnedAway(load=ToldLoad() as load) if self._trusts_load():
+            case Rejected(load=ToldLoad() as load) if self._trusts_load():
                 # One that is short of nothing turns some away as well: taken
                 # for full, it would lose the keys that it remembers.
                 upstream.note_load(load.running + load.waiting, now)
-            case TurnedAway():
+            case Rejected():
                 upstream.note_load(upstream.entry.slots * _FULL_FACTOR, now)
             case NotSent(reason=reason, is_dead=is_dead):
                 self._distrust(case, reason, now)
                 if is_dead:
-                    self._chooser.suspect_new_life(
+                    self._chooser.assume_cold(
                         upstream,
                         ColdReason.refused,
                         now,
--- a/src/wardstair/gateway/lives.py
+++ b/src/wardstair/gateway/lives.py
@@ -62,7 +62,7 @@
         """
         upstream = self._catalog.note_ended(life)
         if upstream is not None:
-            self._chooser.suspect_new_life(
+            self._chooser.assume_cold(
                 upstream,
                 ColdReason.ended,
                 self._catalog.clock(),
--- a/src/wardstair/gateway/handing_on.py
+++ b/src/wardstair/gateway/peer_forwarding.py
@@ -27,7 +27,7 @@
 from wardstair.gateway.settings import LiveSettings
 from wardstair.process.log import log_event
 
-RELAY_PATH = '/v1/relayed'
+PEER_REQUEST_PATH = '/v1/relayed'
 # Hosts that one request is offered to: the first ones may have been cut off
 # since their last heartbeats.
 MOST_OFFERED = 4
@@ -73,7 +73,7 @@
     seconds: float = 0.0
 
 
-class Handover:
+class PeerForwarder:
     """Finds hosts that help, and hands requests on to them; one a process."""
 
     def __init__(
@@ -270,6 +270,6 @@
 
 def _head(length: int) -> bytes:
     return (
-        f'POST {RELAY_PATH} HTTP/1.1\r\nHost: host\r\n'
+        f'POST {PEER_REQUEST_PATH} HTTP/1.1\r\nHost: host\r\n'
         f'Content-Type: application/cbor\r\nContent-Length: {length}\r\n\r\n'
     ).encode('latin-1')
--- a/src/wardstair/gateway/relayed.py
+++ b/src/wardstair/gateway/peer_messages.py
@@ -3,9 +3,9 @@
 import time
 
 from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
-from wardstair.gateway.course import Course
 from wardstair.gateway.messages import Inbound, Reply
-from wardstair.gateway.refusals import Ending
+from wardstair.gateway.refusals import Refusal
+from wardstair.gateway.request_progress import RequestProgress
 
 
 def inbound_of(relayed: RelayedRequest) -> Inbound:
@@ -25,7 +25,7 @@
     )
 
 
-def relayed_of(course: Course) -> RelayedRequest:
+def relayed_of(course: RequestProgress) -> RelayedRequest:
     """Return a request as it is handed on now."""
     inbound = course.inbound
     return RelayedRequest(
@@ -74,7 +74,7 @@
 
 
 def refusal_of(
-    ending: Ending,
+    ending: Refusal,
     relayed: RelayedRequest,
     lost: frozenset[str] = frozenset(),
 ) -> RelayedAnswer:
--- a/src/wardstair/gateway/relay_server.py
+++ b/src/wardstair/gateway/peer_server.py
@@ -13,15 +13,15 @@
     encode_answer,
 )
 from wardstair.gateway import refusals
-from wardstair.gateway.bodies import BodyRoom
-from wardstair.gateway.relayed import refusal_of
+from wardstair.gateway.bodies import BodyCapacity
+from wardstair.gateway.peer_messages import refusal_of
 
 # Gets a request; returns its answer, and is cancelled if the host that handed
 # it on gives up.
 ServeRelayed = Callable[[RelayedRequest], Awaitable[RelayedAnswer]]
 
 
-class RelayServer:
+class PeerRequestServer:
     """The requests that other hosts have handed on; one a process.
 
     Attributes:
@@ -29,7 +29,7 @@
         taken: Requests taken so far.
     """
 
-    def __init__(self, serve: ServeRelayed, bodies: BodyRoom) -> None:
+    def __init__(self, serve: ServeRelayed, bodies: BodyCapacity) -> None:
         """Prepare without requests.
 
         Args:
@@ -71,10 +71,10 @@
                 await self._is_idle.wait()
 
 
-class RelayHandler(RequestHandler):
+class PeerRequestHandler(RequestHandler):
     """One request that another host hands on."""
 
-    def initialize(self, server: RelayServer) -> None:
+    def initialize(self, server: PeerRequestServer) -> None:
         """Take what is shared by all requests.
 
         Args:
--- a/src/wardstair/gateway/refusals.py
+++ b/src/wardstair/gateway/refusals.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class Refusal:
     """A way in which the gateway itself ends a request.
 
     Attributes:
@@ -61,52 +61,52 @@
         )
 
 
-NO_REQUEST_ID = Ending(
+NO_REQUEST_ID = Refusal(
     400,
     RefusalKind.bad_header,
     f'the request carries no {REQUEST_ID}; send one',
 )
-NO_ROUTE = Ending(
+NO_ROUTE = Refusal(
     404,
     RefusalKind.no_route,
     'no route covers this host and path; check both',
 )
 # The same for every fault, so that it discloses nothing about existing keys.
-NOT_AUTHORISED = Ending(
+NOT_AUTHORISED = Refusal(
     401,
     RefusalKind.not_authorised,
     f'the request needs one valid API key; send it as {API_KEY}',
     challenge=API_KEY,
 )
 # A new connection may reach another entry host that has contact with the store.
-UNVERIFIED = Ending(
+UNVERIFIED = Refusal(
     503,
     RefusalKind.unverified,
     'this entry host cannot check the API key now; come back',
     retry_after=0.1,
 )
 # `retry_after` is replaced for each request.
-OVER_QUOTA = Ending(
+OVER_QUOTA = Refusal(
     429,
     RefusalKind.over_quota,
     'the quota of the organisation is used up; come back after the stated time',
 )
 # The route and the organisation have no allowed region in common.
-NO_HOME = Ending(
+NO_PERMITTED_REGION = Refusal(
     503,
     RefusalKind.no_home,
     'no region may serve this organisation on this route; ask the operators',
 )
 # A host that has just started knows a configuration within about half a
 # second.
-STARTING = Ending(
+STARTING = Refusal(
     503,
     RefusalKind.starting,
     'this entry host knows no configuration yet; come back',
     retry_after=0.5,
 )
 # An upstream that is full has room again after some two answers.
-OVERLOADED = Ending(
+OVERLOADED = Refusal(
     503,
     RefusalKind.overloaded,
     'no upstream has room; come back after the stated seconds',
@@ -117,7 +117,7 @@
 # that the fleet's limit allows, only its own next try can be. The time is a few
 # round trips of a caller, which by the sheets of three deployments take 2 to
 # 16 ms.
-TURNED_AWAY = Ending(
+TURNED_AWAY = Refusal(
     503,
     RefusalKind.turned_away,
     'the upstreams tried turned it away; come back at once',
@@ -125,63 +125,63 @@
 )
 # All upstreams that would do name a limit, and what this host may send them is
 # used up. `retry_after` is set for each caller.
-LIMITS_REACHED = Ending(
+LIMITS_REACHED = Refusal(
     503,
     RefusalKind.limits_reached,
     'the upstreams take no more for now; come back after the stated seconds',
 )
 # Bodies are held for about the time of an answer.
-NO_MEMORY = Ending(
+NO_MEMORY = Refusal(
     503,
     RefusalKind.no_memory,
     'this entry host holds as many bodies as it can; come back',
     retry_after=0.5,
 )
 # One that cannot be reached is taken out, or back, within about a second.
-NO_UPSTREAM = Ending(
+NO_UPSTREAM = Refusal(
     503,
     RefusalKind.no_upstream,
     'no upstream can be reached; come back after the stated seconds',
     retry_after=1.0,
 )
 # The host that handed the request on asks another one.
-UNREACHED = Ending(
+UNREACHED = Refusal(
     503,
     RefusalKind.unreached,
     'this entry host does not reach the upstreams either; come back',
     retry_after=0.1,
 )
 # Those that replace them register within about a second.
-UPSTREAMS_LEAVING = Ending(
+UPSTREAMS_LEAVING = Refusal(
     503,
     RefusalKind.upstreams_leaving,
     'all upstreams are about to end; come back after the stated seconds',
     retry_after=1.0,
 )
 # `retry_after` is set for each caller.
-UPSTREAMS_PAUSED = Ending(
+UPSTREAMS_PAUSED = Refusal(
     503,
     RefusalKind.upstreams_paused,
     'all upstreams have asked for a pause; come back after the stated seconds',
 )
 # Upstreams ended under it. It stays refused until the stated time, or until an
 # operator lifts it; `retry_after` is set for each.
-ENDS_UPSTREAMS = Ending(
+ENDS_UPSTREAMS = Refusal(
     503,
     RefusalKind.ends_upstreams,
     'upstreams ended under this request, so it is not run; do not repeat it',
 )
-TOO_LATE = Ending(
+DEADLINE_PASSED = Refusal(
     504,
     RefusalKind.deadline_passed,
     'the time of the request is up; it may have run',
 )
-OUTCOME_UNKNOWN = Ending(
+OUTCOME_UNKNOWN = Refusal(
     502,
     RefusalKind.outcome_unknown,
     'the upstream gave no whole answer; the request may have run',
 )
-INTERNAL_FAULT = Ending(
+INTERNAL_FAULT = Refusal(
     500,
     RefusalKind.internal_fault,
     'the entry host failed; see its log under this request id',
--- a/src/wardstair/gateway/reporting.py
+++ b/src/wardstair/gateway/reporting.py
@@ -13,8 +13,8 @@
 from wardstair.decisions.ranking import unit_hash
 from wardstair.errors import RefusalKind
 from wardstair.gateway.choosing import Placement
-from wardstair.gateway.handing_on import HopOutcome
 from wardstair.gateway.messages import Inbound
+from wardstair.gateway.peer_forwarding import HopOutcome
 from wardstair.gateway.quotas import OverQuota
 from wardstair.gateway.sending import Delivered
 from wardstair.process.log import log_event
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class LinePace:
+class LineRateLimit:
     """Counts lines by the second and says which part is to be kept."""
 
     most: int
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class Trail:
+class AttemptHistory:
     """What is told of a request beside its end.
 
     Attributes:
@@ -111,8 +111,8 @@
             metrics: Where counts and latencies go.
         """
         self._metrics = metrics
-        self._good = LinePace(GOOD_LINES_A_SECOND)
-        self._other = LinePace(OTHER_LINES_A_SECOND)
+        self._good = LineRateLimit(GOOD_LINES_A_SECOND)
+        self._other = LineRateLimit(OTHER_LINES_A_SECOND)
 
     def divided(self, route: SteeredRoute, service: str) -> None:
         """Count a request of a split route by the service it was given."""
@@ -120,7 +120,7 @@
 
     def answered(
         self,
-        trail: Trail,
+        trail: AttemptHistory,
         placement: Placement,
         delivered: Delivered,
     ) -> None:
@@ -160,7 +160,7 @@
 
     def sent_again(
         self,
-        trail: Trail,
+        trail: AttemptHistory,
         reason: str,
         placement: Placement,
     ) -> None:
@@ -177,7 +177,7 @@
             sends=trail.sends,
         )
 
-    def handed_on(self, trail: Trail, outcome: HopOutcome) -> None:
+    def handed_on(self, trail: AttemptHistory, outcome: HopOutcome) -> None:
         """Tell of a request that another entry host was asked to send."""
         now = time.monotonic()
         self._metrics.handed_on.add(outcome.end, trail.route.name)
@@ -201,7 +201,7 @@
 
     def sent_after_notice(
         self,
-        trail: Trail,
+        trail: AttemptHistory,
         upstream: Upstream,
         notice: Standing,
         way: str,
@@ -225,7 +225,7 @@
             way=way,
         )
 
-    def withheld(self, trail: Trail, verdict: str) -> None:
+    def withheld(self, trail: AttemptHistory, verdict: str) -> None:
         """Tell of a second send that was not made."""
         self._metrics.retries_withheld.add(verdict, trail.route.name)
         if not self._keeps_other(trail):
@@ -237,7 +237,9 @@
             sends=trail.sends,
         )
 
-    def refused(self, trail: Trail, kind: str, known: int, left: float) -> None:
+    def refused(
+        self, trail: AttemptHistory, kind: str, known: int, left: float
+    ) -> None:
         """Tell of a request that this host ends by itself.
 
         Args:
@@ -330,7 +332,7 @@
             wait=round(over.wait, 2),
         )
 
-    def unheld(self, request_id: str, held: int) -> None:
+    def body_refused(self, request_id: str, held: int) -> None:
         """Tell of a request whose body found no room on this host.
 
         Args:
@@ -343,7 +345,7 @@
             return
         log_event('request-unheld', request=request_id, held=held)
 
-    def caller_left(self, trail: Trail) -> None:
+    def caller_left(self, trail: AttemptHistory) -> None:
         """Tell of a request whose caller left before its answer."""
         self._metrics.refusals.add('caller-left', trail.route.name)
         if not self._keeps_other(trail):
@@ -356,7 +358,7 @@
             seconds=round(time.monotonic() - trail.inbound.received_at, 3),
         )
 
-    def _keeps_other(self, trail: Trail) -> bool:
+    def _keeps_other(self, trail: AttemptHistory) -> bool:
         now = time.monotonic()
         if self._other.keeps(trail.inbound.request_id, now):
             return True
--- a/src/wardstair/gateway/course.py
+++ b/src/wardstair/gateway/request_progress.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from wardstair.gateway.choosing import Placement
-from wardstair.gateway.handing_on import HopOutcome
 from wardstair.gateway.learning import SendCase
 from wardstair.gateway.messages import Inbound
-from wardstair.gateway.reporting import Trail
+from wardstair.gateway.peer_forwarding import HopOutcome
+from wardstair.gateway.reporting import AttemptHistory
 from wardstair.gateway.sending import Delivered, SendOutcome
 from wardstair.version.organisations import Organisation
 from wardstair.version.steering import SteeredRoute
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Course:
+class RequestProgress:
     """What has happened to one request so far.
 
     Attributes:
@@ -63,7 +63,7 @@
     service: str
     key: str
     until: float
-    trail: Trail
+    trail: AttemptHistory
     organisation: Organisation | None = None
     regions: frozenset[str] = frozenset()
     sends: int = 0
--- a/src/wardstair/gateway/sending.py
+++ b/src/wardstair/gateway/sending.py
@@ -68,17 +68,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class Rejected:
     """The upstream said that it has not run the request.
 
     Attributes:
         status: Its status.
-        is_other: Whether another upstream has the address now.
+        is_misdirected: Whether another upstream has the address now.
         load: The load that it told, if any.
     """
 
     status: int
-    is_other: bool
+    is_misdirected: bool
     load: ToldLoad | None = None
 
 
@@ -111,7 +111,7 @@
     seconds: float
 
 
-SendOutcome = NotSent | Withheld | Barred | TurnedAway | Lost | Delivered
+SendOutcome = NotSent | Withheld | Barred | Rejected | Lost | Delivered
 
 
 class Sender:
@@ -324,8 +324,8 @@
     seconds: float,
 ) -> SendOutcome:
     if fields.is_not_run or answer.status == _MISDIRECTED:
-        is_other = answer.status == _MISDIRECTED
-        return TurnedAway(answer.status, is_other, fields.load)
+        is_misdirected = answer.status == _MISDIRECTED
+        return Rejected(answer.status, is_misdirected, fields.load)
     if answer.status in _SUCCESS and not fields.is_proven:
         return Lost(BreakReason.malformed)
     if answer.status in _PROMISES:
@@ -337,8 +337,8 @@
 def _is_of(upstream: Upstream, outcome: SendOutcome) -> bool:
     """Return whether an answer is one of the upstream that was meant."""
     match outcome:
-        case TurnedAway(is_other=is_other):
-            return not is_other
+        case Rejected(is_misdirected=is_misdirected):
+            return not is_misdirected
         case Lost(reason=BreakReason.malformed):
             return False
     return not upstream.has_ended
--- a/src/wardstair/gateway/splitting.py
+++ b/src/wardstair/gateway/splitting.py
@@ -21,7 +21,7 @@
     tally: SplitTally = field(default_factory=SplitTally)
 
 
-class Splits:
+class TrafficSplitter:
     """Divides the requests of split routes; one a process."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         ]
         return split.tally.choose(key, shares)
 
-    def follow(self, routes: Iterable[SteeredRoute]) -> None:
+    def drop_unsplit(self, routes: Iterable[SteeredRoute]) -> None:
         """Drop what is kept for routes that are not split any more.
 
         Args:
--- a/tests/functional/test_gateway_requests.py
+++ b/tests/functional/test_gateway_requests.py
@@ -416,7 +416,7 @@
 
     async def test(rig: Rig) -> None:
         bodies = rig.gateway.callers.bodies
-        bodies.most = 5000
+        bodies.max_bytes = 5000
         holder = await Caller.connect(rig)
         await holder.send('/send/x', 'POST', b'x' * 4000, 'r0')
         await one.got_one.wait()
--- a/tests/functional/test_leaving_while_connecting.py
+++ b/tests/functional/test_leaving_while_connecting.py
@@ -239,7 +239,7 @@
             monkeypatch.setattr(rig.gateway.pool, 'connect', late.connect)
             forwarder = rig.gateway.forwarder
             asked = asyncio.gather(
-                *(forwarder.serve_relayed(relayed(name)) for name in IDS)
+                *(forwarder.serve_peer_request(relayed(name)) for name in IDS)
             )
             await rig.until(lambda: len(late.waiting) >= REQUESTS)
             assert LEAVER in late.waiting
--- a/tests/soak/breaks.py
+++ b/tests/soak/breaks.py
@@ -11,7 +11,7 @@
 from wardstair.connection.upstream import UpstreamConnection
 from wardstair.decisions.cold import HostView
 from wardstair.decisions.suspicion import Evidence
-from wardstair.gateway import fleet_views, handing_on, refusals, splitting
+from wardstair.gateway import fleet_views, peer_forwarding, refusals, splitting
 from wardstair.platform import headers, store
 from wardstair.platform.objects import StoredObject
 from wardstair.state import (
@@ -35,7 +35,7 @@
     status = refusals.OVERLOADED.status
     lie = replace(refusals.OUTCOME_UNKNOWN, status=status, retry_after=0.1)
     refusals.OUTCOME_UNKNOWN = lie
-    refusals.TOO_LATE = lie
+    refusals.DEADLINE_PASSED = lie
 
 
 def forget_versions() -> None:
@@ -80,10 +80,10 @@
 
 def keep_old_tallies() -> None:
     """Let what was sent by old weights count against new ones."""
-    begin = splitting.Splits._begin
+    begin = splitting.TrafficSplitter._begin
 
     def go_on(
-        self: splitting.Splits,
+        self: splitting.TrafficSplitter,
         route: SteeredRoute,
         before: splitting.RouteSplit,
     ) -> splitting.RouteSplit:
@@ -91,7 +91,7 @@
         split.tally = before.tally
         return split
 
-    splitting.Splits._begin = go_on  # type: ignore[method-assign]
+    splitting.TrafficSplitter._begin = go_on  # type: ignore[method-assign]
 
 
 def forget_harm() -> None:
@@ -221,7 +221,7 @@
 
 def keep_to_itself() -> None:
     """Hand nothing on, and tell nobody what is out of reach."""
-    setattr(handing_on.Handover, 'find', _find_nobody)  # noqa: B010
+    setattr(peer_forwarding.PeerForwarder, 'find', _find_nobody)  # noqa: B010
     reach.ReachTable.is_cut_off = property(  # type: ignore[assignment]
         lambda _table: False,
     )
--- a/tests/unit/test_ranked_homes.py
+++ b/tests/unit/test_key_ranking.py
@@ -11,7 +11,12 @@
 
 from wardstair.decisions.mechanisms import Mechanism
 from wardstair.decisions.relief import STEP, STEP_SECONDS
-from wardstair.gateway.homes import KEPT, Haul, Homes, KeyAsk
+from wardstair.gateway.key_ranking import (
+    LOCAL_KEY_LIMITS,
+    KeyRanking,
+    RankingQuery,
+    TransferSize,
+)
 from wardstair.gateway.settings import LiveSettings
 from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
@@ -42,7 +47,7 @@
             switched_off=frozenset(switched_off),
         )
         self.live = LiveSettings(settings)
-        self.homes = Homes(self.live, self.belief)
+        self.homes = KeyRanking(self.live, self.belief)
         entries = [
             replace(ENTRY, name=f'i-{number}', zone=ZONES[number % 4])
             for number in range(12)
@@ -60,11 +65,11 @@
     def ranked(
         self,
         key: str,
-        haul: Haul = Haul.light,
+        transfer_size: TransferSize = TransferSize.light,
         regions: frozenset[str] = frozenset(),
     ) -> list[str]:
         """Return names of upstreams, the key's home first."""
-        ask = KeyAsk('views', key, regions, haul)
+        ask = RankingQuery('views', key, regions, transfer_size)
         return [one.name for one in self.homes.ranked(ask)]
 
     def kept(self) -> float:
@@ -81,8 +86,8 @@
 
 def test_a_region_keeps_more_of_its_keys_with_near_homes() -> None:
     plain = Fleet(Mechanism.near_homes).kept()
-    assert plain < KEPT.most - 0.05
-    assert Fleet().kept() == pytest.approx(KEPT.most, abs=0.05)
+    assert plain < LOCAL_KEY_LIMITS.most - 0.05
+    assert Fleet().kept() == pytest.approx(LOCAL_KEY_LIMITS.most, abs=0.05)
 
 
 def test_a_full_service_moves_nothing() -> None:
@@ -119,7 +124,9 @@
     on = Fleet()
     off = Fleet(Mechanism.near_homes)
     for key in KEYS[:50]:
-        assert on.ranked(key, Haul.large) == off.ranked(key, Haul.large)
+        assert on.ranked(key, TransferSize.large) == off.ranked(
+            key, TransferSize.large
+        )
 
 
 def test_a_change_of_the_settings_takes_hold_at_once() -> None:
--- a/tests/unit/test_region_moves.py
+++ b/tests/unit/test_region_moves.py
@@ -19,7 +19,7 @@
 from wardstair.decisions.region_pace import WINDOW_SECONDS
 from wardstair.decisions.relief import STEP_SECONDS
 from wardstair.decisions.split import SplitTally
-from wardstair.gateway.homes import Haul, Homes, KeyAsk
+from wardstair.gateway.key_ranking import KeyRanking, RankingQuery, TransferSize
 from wardstair.gateway.moving import RegionMoves
 from wardstair.gateway.settings import Bounds, LiveSettings
 from wardstair.platform.objects import Metadata, StoredObject
@@ -53,7 +53,7 @@
         self.belief = Belief(self.clock, Catalog(self.clock))
         own = gateway_settings(1, bounds=Bounds(shift_share=MOST_MOVED))
         self.live = LiveSettings(replace(own, zone=f'{name}-a', zones=ZONES))
-        self.homes = Homes(self.live, self.belief)
+        self.homes = KeyRanking(self.live, self.belief)
         self.version = 0
         self.steer(WEIGHTS)
         self.entries = [
@@ -105,7 +105,9 @@
         for key in KEYS:
             service = tally.choose(key, weights)
             moving = route.name if self.homes.is_moving(route.name) else ''
-            ask = KeyAsk(service, key, frozenset(), Haul.light, moving)
+            ask = RankingQuery(
+                service, key, frozenset(), TransferSize.light, moving
+            )
             home = self.homes.ranked(ask)[0]
             ran[ZONES[home.entry.zone]] += 1
         return {region: ran[region] / len(KEYS) for region in REGIONS}
--- a/tests/unit/test_sink.py
+++ b/tests/unit/test_sink.py
@@ -3,7 +3,7 @@
 import asyncio
 import os
 
-from wardstair.gateway.reporting import LinePace
+from wardstair.gateway.reporting import LineRateLimit
 from wardstair.process.sink import LineSink
 
 
@@ -69,7 +69,7 @@
 
 
 def test_lines_are_thinned_by_request_id_above_a_rate() -> None:
-    first, second = LinePace(10), LinePace(10)
+    first, second = LineRateLimit(10), LineRateLimit(10)
     names = [f'r{number}' for number in range(400)]
     kept = []
     for pace in (first, second):
--- a/tests/unit/test_split_after_change.py
+++ b/tests/unit/test_split_after_change.py
@@ -29,7 +29,7 @@
 import pytest
 from lib.routes import route_of
 
-from wardstair.gateway.splitting import Splits
+from wardstair.gateway.splitting import TrafficSplitter
 
 HOSTS = 12
 KEYS = 27
@@ -51,7 +51,7 @@
     sent = Counter[str]()
     for number in range(HOSTS):
         random = Random(number)
-        splits = Splits()
+        splits = TrafficSplitter()
         spans_of_host = [*spans, Span(last, NEXT_REQUESTS // HOSTS)]
         for span in spans_of_host:
             route = route_of(span.weights)
@@ -91,10 +91,10 @@
     keys = [f'key {random.randrange(KEYS)}' for _ in range(400)]
     chosen = []
     for after in (route, replace(route, timeout=route.timeout * 2)):
-        splits = Splits()
+        splits = TrafficSplitter()
         for key in keys[:200]:
             splits.service_of(route, key)
-        splits.follow([after])
+        splits.drop_unsplit([after])
         chosen.append([splits.service_of(after, key) for key in keys[200:]])
     assert chosen[0] == chosen[1]
 
@@ -103,8 +103,8 @@
 def test_nothing_is_kept_for_routes_that_are_not_split_any_more(
     weights: dict[str, float] | None,
 ) -> None:
-    splits = Splits()
+    splits = TrafficSplitter()
     splits.service_of(route_of({'bind': 3, 'quote': 1}), 'key')
     assert splits.routes == {'read'}
-    splits.follow([] if weights is None else [route_of(weights)])
+    splits.drop_unsplit([] if weights is None else [route_of(weights)])
     assert splits.routes == set()
