--- a/src/wardstair/gateway/listeners.py
+++ b/src/wardstair/gateway/listeners.py
@@ -8,7 +8,7 @@
 from wardstair.gateway.settings import Listener
 from wardstair.version.steering import CallerLimits
 
-# Margin on the configured idle time, which callers may use up.
+# Margin so that callers may leave a connection idle for the configured time.
 IDLE_FACTOR = 1.3
 # Connections that may wait to be accepted; the kernel drops further ones.
 BACKLOG = 512
--- a/src/wardstair/gateway/reporting.py
+++ b/src/wardstair/gateway/reporting.py
@@ -30,7 +30,11 @@
 
 @dataclass(slots=True)
 class LineRateLimit:
-    """Limits log lines per second by sampling them by request id."""
+    """Limits log lines per second by sampling them by request id.
+
+    Attributes:
+        max_per_second: Rate up to which all lines are logged.
+    """
 
     max_per_second: int
     _second: int = 0
--- a/src/wardstair/gateway/sending.py
+++ b/src/wardstair/gateway/sending.py
@@ -33,9 +33,9 @@
 
 _MISDIRECTED = 421
 _SUCCESS_STATUSES = range(200, 300)
-# Shortest expected time by which a send is judged to be overdue.
+# Lower bound on the expected time when a send is judged to be overdue.
 _MIN_EXPECTED_SECONDS = 0.05
-# Outcomes of an exchange on a connection that the upstream no longer knows.
+# How an exchange ends on a connection that the upstream has dropped.
 _STALE_CONNECTION_REASONS = frozenset((BreakReason.reset, BreakReason.closed))
 _UNAVAILABLE = frozenset((Standing.paused, Standing.closed))
 # Statuses by which an upstream may request a pause with Retry-After.
@@ -138,9 +138,9 @@
         self._numbers = count()
 
     def can_connect(self, upstream: Upstream, *, is_once: bool) -> bool:
-        """Return whether a connection to an upstream is likely available.
+        """Return whether a connection to an upstream is probably available.
 
-        That is, new connections do not fail at present, or one is idle.
+        It is if new connections do not fail at present, or if one is idle.
 
         Args:
             upstream: The upstream.
