--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -144,7 +144,7 @@
             return self._end(progress, refusals.NO_PERMITTED_REGION)
         if self._is_held(inbound):
             return self._refuse_held(progress)
-        return await self._carry(progress)
+        return await self._execute(progress)
 
     async def serve_peer_request(
         self,
@@ -164,7 +164,7 @@
         if not self._is_reachable(progress):
             lost = reach.lost or ALL_GROUPS
             return peer_refusal(refusals.UNREACHED, relayed, lost)
-        reply = await self._carry(progress)
+        reply = await self._execute(progress)
         if progress.history.unreachable or not reach.is_sound:
             # This host may be cut off without having detected it yet.
             unreached = frozenset((service_group(progress.service),))
@@ -180,7 +180,7 @@
             ):
                 progress.reroute_signal.set_result(None)
 
-    async def _carry(self, progress: RequestProgress) -> Reply:
+    async def _execute(self, progress: RequestProgress) -> Reply:
         if progress.route.is_repeatable and not progress.is_from_peer:
             progress.reroute_signal = asyncio.get_running_loop().create_future()
             self._forwardable.add(progress)
