--- a/src/wardstair/decisions/slack.py
+++ b/src/wardstair/decisions/adaptive_timeout.py
@@ -4,13 +4,13 @@
 from dataclasses import dataclass, field
 
 # Answers by which the next are judged.
-MOST_SAMPLES = 8
+MAX_SAMPLES = 8
 # An answer that takes longer than the slowest of them times this is late.
 SPREAD_FACTOR = 2.0
 
 
 @dataclass(slots=True)
-class AnswerSlack:
+class AdaptiveTimeout:
     """Follows how long a server takes to answer.
 
     It answers the load that a slow server is under: a fixed slack would take
@@ -18,7 +18,7 @@
     """
 
     _samples: deque[float] = field(
-        default_factory=lambda: deque(maxlen=MOST_SAMPLES),
+        default_factory=lambda: deque(maxlen=MAX_SAMPLES),
     )
 
     def note(self, seconds: float) -> None:
@@ -29,7 +29,7 @@
         """
         self._samples.append(max(0.0, seconds))
 
-    def after(self, least: float, most: float) -> float:
+    def timeout(self, least: float, most: float) -> float:
         """Return the time after which an answer is late.
 
         Args:
--- a/src/wardstair/decisions/once.py
+++ b/src/wardstair/decisions/at_most_once.py
@@ -163,13 +163,13 @@
             record.answer = answer
         self._extend(key, record, now)
 
-    def finish_unkept(self, key: str, now: float) -> None:
+    def finish_without_answer(self, key: str, now: float) -> None:
         """Note that the request ran and its answer was too large."""
         record = self.records[key]
         record.state = RunState.finished
         self._extend(key, record, now)
 
-    def lose(self, key: str, now: float) -> None:
+    def mark_unknown(self, key: str, now: float) -> None:
         """Note that an attempt was made and its outcome is not known."""
         record = self.records[key]
         record.state = RunState.unknown
@@ -224,20 +224,20 @@
     """A key issued by a look-up: it names its home.
 
     Attributes:
-        home: Name of the entry host that remembers the key.
+        owner: Name of the entry host that remembers the key.
         incarnation: Incarnation of that host, as text.
         issued_at: Wall clock time of issue, in whole seconds.
         unique: Part that makes the key unique.
     """
 
-    home: str
+    owner: str
     incarnation: str
     issued_at: int
     unique: str
 
     def __str__(self) -> str:
         """Return the form in which the key travels."""
-        parts = (self.home, self.incarnation, self.issued_at, self.unique)
+        parts = (self.owner, self.incarnation, self.issued_at, self.unique)
         return _SEPARATOR.join(map(str, parts))
 
 
--- a/src/wardstair/decisions/outside.py
+++ b/src/wardstair/decisions/cross_region.py
@@ -46,7 +46,7 @@
     return len(range(index, cap, len(zones)))
 
 
-def outside_tokens(slots: int, share: float) -> int:
+def cross_region_tokens(slots: int, share: float) -> int:
     """Return how many slots of a zone may serve traffic from outside."""
     return int(slots * share)
 
@@ -65,7 +65,7 @@
     """
     if origin.region is None or origin.region == own_region:
         return ()
-    needed = [outside_resource(origin.workload)]
+    needed = [cross_region_resource(origin.workload)]
     needed.extend(
         shift_resource(shift.name)
         for shift in shifts
@@ -74,7 +74,7 @@
     return tuple(needed)
 
 
-def outside_resource(workload: str) -> str:
+def cross_region_resource(workload: str) -> str:
     """Return the name of a workload's tokens for outside traffic."""
     return f'outside/{workload}'
 
--- a/src/wardstair/decisions/handover.py
+++ b/src/wardstair/decisions/handover.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from wardstair.decisions.reach import ALL
+from wardstair.decisions.reachability import ALL
 
 # Hosts that are compared by load; more would all choose the same one.
 COMPARED = 2
--- a/src/wardstair/decisions/ledger.py
+++ b/src/wardstair/decisions/ledger.py
@@ -40,7 +40,7 @@
     incarnation: str
 
 
-class Standing(Enum):
+class Availability(Enum):
     """The standings of a token without further data."""
 
     idle = 'idle'
@@ -72,7 +72,7 @@
     until: float
 
 
-OwnedState = Standing | Lent | Settling
+OwnedState = Availability | Lent | Settling
 
 
 @dataclass
@@ -201,7 +201,7 @@
     @property
     def in_use(self) -> int:
         """Tokens that work of this host uses now."""
-        owned = sum(state is Standing.busy for state in self.owned.values())
+        owned = sum(state is Availability.busy for state in self.owned.values())
         return owned + sum(loan.is_busy for loan in self.borrowed.values())
 
     @property
@@ -210,7 +210,7 @@
         return [
             token
             for token, state in self.owned.items()
-            if state is Standing.idle and token not in self.retired
+            if state is Availability.idle and token not in self.retired
         ]
 
     def available(self, now: float) -> int:
@@ -235,7 +235,7 @@
         self.retired.discard(token)
         if token in self.owned:
             return
-        state = Settling(now + settle) if settle > 0 else Standing.idle
+        state = Settling(now + settle) if settle > 0 else Availability.idle
         self.owned[token] = state
 
     @property
@@ -293,7 +293,7 @@
                     and granted < asked_at
                     and (token, loan) not in held
                 ):
-                    self.owned[token] = Standing.idle
+                    self.owned[token] = Availability.idle
 
     def resolve(
         self,
@@ -324,7 +324,7 @@
         Returns:
             False if it is in use or lent; then it stays.
         """
-        if self.owned.get(token) is not Standing.idle:
+        if self.owned.get(token) is not Availability.idle:
             return False
         self.owned.pop(token)
         self.retired.discard(token)
@@ -349,7 +349,7 @@
         idle = self.idle_owned
         if not idle:
             return None
-        self.owned[idle[0]] = Standing.busy
+        self.owned[idle[0]] = Availability.busy
         return Slot(idle[0], None)
 
     def put_back(
@@ -378,8 +378,8 @@
                 return None
             self.borrowed.pop(token)
             return LoanReturn(loan.lender, loan.loan, (token,))
-        if self.owned.get(token) is Standing.busy:
-            self.owned[token] = Standing.idle
+        if self.owned.get(token) is Availability.busy:
+            self.owned[token] = Availability.idle
         return None
 
     def lend(
@@ -439,7 +439,7 @@
         for token in tokens:
             state = self.owned.get(token)
             if isinstance(state, Lent) and state.loan == loan:
-                self.owned[token] = Standing.idle
+                self.owned[token] = Availability.idle
 
     def return_idle(self) -> list[LoanReturn]:
         """Give all unused loans back, as a host that leaves does."""
@@ -475,9 +475,9 @@
         for token, state in self.owned.items():
             match state:
                 case Settling(until=until) if until <= now:
-                    self.owned[token] = Standing.idle
+                    self.owned[token] = Availability.idle
                 case Lent(reclaim_at=float(due)) if due <= now:
-                    self.owned[token] = Standing.idle
+                    self.owned[token] = Availability.idle
 
     def _return_loans(self, ended_by: float) -> list[LoanReturn]:
         returns = [
--- a/src/wardstair/decisions/mechanisms.py
+++ b/src/wardstair/decisions/mechanisms.py
@@ -12,12 +12,12 @@
 
     # Homes of keys in the caller's region as far as its slots go; without it,
     # near upstreams weigh more by fixed factors.
-    near_homes = 'near-homes'
+    near_preferred = 'near-homes'
     # Keys move off an upstream that stays more crowded than the others.
-    relief = 'relief'
+    rebalancing = 'relief'
     # A silent upstream's request goes to a second one, if it may run again.
     hedging = 'hedging'
     # Upstreams that are far slower than usual, or fail often, are left out.
     ejection = 'ejection'
     # An upstream that turns a request away is as full as it says, not full.
-    told_rejections = 'told-rejections'
+    reported_rejections = 'told-rejections'
--- a/src/wardstair/decisions/membership.py
+++ b/src/wardstair/decisions/membership.py
@@ -15,7 +15,7 @@
 SUSPECT_SECONDS = 3.0
 DEAD_SECONDS = 8.0
 REPORT_STALE_SECONDS = 15.0
-RELAYS_A_ZONE = 2
+RELAYS_PER_ZONE = 2
 
 
 class HostState(StrEnum):
--- a/src/wardstair/decisions/notices.py
+++ b/src/wardstair/decisions/notices.py
@@ -14,7 +14,7 @@
 _One = TypeVar('_One')
 
 
-class Standing(StrEnum):
+class Availability(StrEnum):
     """What an upstream takes from a host.
 
     Attributes:
@@ -44,7 +44,9 @@
     paused_until: float = float('-inf')
 
 
-def standing_of(notice: Notice, now: float, drain_seconds: float) -> Standing:
+def availability_of(
+    notice: Notice, now: float, drain_seconds: float
+) -> Availability:
     """Return what an upstream takes from a host.
 
     Args:
@@ -55,13 +57,15 @@
     """
     since = notice.leaving_since
     if since is not None and now >= since + drain_seconds * LAST_RESORT_SHARE:
-        return Standing.closed
+        return Availability.closed
     if now < notice.paused_until:
-        return Standing.paused
-    return Standing.open if since is None else Standing.leaving
+        return Availability.paused
+    return Availability.open if since is None else Availability.leaving
 
 
-def willing(upstreams: Sequence[tuple[_One, Standing]]) -> list[_One]:
+def accepting_upstreams(
+    upstreams: Sequence[tuple[_One, Availability]],
+) -> list[_One]:
     """Return the upstreams that a request may go to, in the same order.
 
     Those that leave are kept for a service that has no other.
@@ -69,7 +73,7 @@
     Args:
         upstreams: Upstreams with what each takes.
     """
-    for wanted in (Standing.open, Standing.leaving):
+    for wanted in (Availability.open, Availability.leaving):
         found = [one for one, standing in upstreams if standing is wanted]
         if found:
             return found
@@ -93,7 +97,7 @@
     return left if left > 0 else None
 
 
-def return_after(pause_left: float) -> float:
+def retry_after_seconds(pause_left: float) -> float:
     """Return when a caller that meets a pause should come back, in seconds.
 
     Callers refused at different times would all come back at the end of the
--- a/src/wardstair/decisions/placement.py
+++ b/src/wardstair/decisions/placement.py
@@ -61,7 +61,7 @@
     seconds: float
 
 
-def choose_place(
+def choose_by_cost(
     candidates: Sequence[Candidate],
     work: float,
     queue_share: float,
@@ -101,7 +101,7 @@
     return candidate.round_trip + wait + own_work
 
 
-def has_queue_room(candidate: Candidate, queue_share: float) -> bool:
+def has_queue_capacity(candidate: Candidate, queue_share: float) -> bool:
     """Return whether its queue is short enough for one request more.
 
     Args:
@@ -114,6 +114,6 @@
 
 def _has_room(candidate: Candidate, queue_share: float) -> bool:
     if candidate.rank == 0:
-        return has_queue_room(candidate, queue_share)
+        return has_queue_capacity(candidate, queue_share)
     share = WARM_SPARE_SHARE if candidate.is_warm else COLD_SPARE_SHARE
     return candidate.load + 1 <= max(candidate.slots * share, 1)
--- a/src/wardstair/decisions/placement_policies.py
+++ b/src/wardstair/decisions/placement_policies.py
@@ -12,14 +12,14 @@
 from wardstair.decisions.placement import (
     Candidate,
     Choice,
-    choose_place,
+    choose_by_cost,
     expected_seconds,
-    has_queue_room,
+    has_queue_capacity,
 )
 
 
 @dataclass(frozen=True, slots=True)
-class WarmHome:
+class WarmPreferred:
     """The home of the key, which remembers it; others only with room to spare.
 
     Attributes:
@@ -39,8 +39,8 @@
     """Any upstream with room, drawn; a baseline that knows of no keys."""
 
 
-PlacementPolicy = WarmHome | LeastInFlight | EqualShares
-DEFAULT_POLICY = WarmHome()
+PlacementPolicy = WarmPreferred | LeastInFlight | EqualShares
+DEFAULT_POLICY = WarmPreferred()
 POLICIES: Mapping[str, PlacementPolicy] = {
     'warm-home': DEFAULT_POLICY,
     'least-in-flight': LeastInFlight(),
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementAsk:
+class PlacementRequest:
     """What is known of the request beside the upstreams.
 
     Attributes:
@@ -64,10 +64,10 @@
     draw: float = 0.0
 
 
-def choose_by(
+def choose_by_policy(
     policy: PlacementPolicy,
     candidates: Sequence[Candidate],
-    ask: PlacementAsk,
+    ask: PlacementRequest,
 ) -> Choice | None:
     """Choose an upstream by a policy; None if none has room.
 
@@ -77,8 +77,8 @@
         ask: The request.
     """
     match policy:
-        case WarmHome():
-            return choose_place(candidates, ask.work, ask.queue_share)
+        case WarmPreferred():
+            return choose_by_cost(candidates, ask.work, ask.queue_share)
         case LeastInFlight():
             return _emptiest(candidates, ask)
         case EqualShares():
@@ -87,7 +87,7 @@
 
 def _emptiest(
     candidates: Sequence[Candidate],
-    ask: PlacementAsk,
+    ask: PlacementRequest,
 ) -> Choice | None:
     open_ones = _with_room(candidates, ask)
     if not open_ones:
@@ -98,7 +98,7 @@
 
 def _drawn(
     candidates: Sequence[Candidate],
-    ask: PlacementAsk,
+    ask: PlacementRequest,
 ) -> Choice | None:
     open_ones = _with_room(candidates, ask)
     if not open_ones:
@@ -109,6 +109,8 @@
 
 def _with_room(
     candidates: Sequence[Candidate],
-    ask: PlacementAsk,
+    ask: PlacementRequest,
 ) -> list[Candidate]:
-    return [one for one in candidates if has_queue_room(one, ask.queue_share)]
+    return [
+        one for one in candidates if has_queue_capacity(one, ask.queue_share)
+    ]
--- a/src/wardstair/decisions/ranking.py
+++ b/src/wardstair/decisions/ranking.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class WeightedUpstream:
     """An upstream with its weight for one kind of request.
 
     Attributes:
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Nearness:
+class ProximityFactors:
     """Factors on the weight of an upstream by its place.
 
     Attributes:
@@ -43,7 +43,7 @@
     far: float = 1.0
 
 
-def rank(key: str, places: Iterable[Place]) -> list[str]:
+def rank(key: str, places: Iterable[WeightedUpstream]) -> list[str]:
     """Return upstream names, the key's home first.
 
     Args:
@@ -62,7 +62,7 @@
     return (xxh64_intdigest(text.encode()) + 0.5) / _HASH_RANGE
 
 
-def _score(key: str, place: Place) -> float:
+def _score(key: str, place: WeightedUpstream) -> float:
     # The least of exponentially distributed scores falls on each place in
     # proportion to its weight.
     return -math.log(unit_hash(f'{key} {place.name}')) / place.weight
--- a/src/wardstair/decisions/reach.py
+++ b/src/wardstair/decisions/reachability.py
@@ -12,8 +12,8 @@
 ALL = '*'
 # Upstreams that fail with none of their group reached between: one that ends
 # and the next one of a rollout are two.
-MOST_NEEDED = 3
-LEAST_NEEDED = 2
+MAX_FAILURES_NEEDED = 3
+MIN_FAILURES = 2
 # Time for which failures go on without an answer between before they are taken
 # for more than chance.
 LEAST_GAP_SECONDS = 0.1
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReachTimes:
+class ProbeTimes:
     """When a host looks whether it reaches upstreams, in seconds.
 
     Attributes:
@@ -55,21 +55,21 @@
     probe: float
 
 
-def reach_times(contact_seconds: float) -> ReachTimes:
+def probe_times(contact_seconds: float) -> ProbeTimes:
     """Return the times that keep the bound on hosts that are cut off.
 
     Args:
         contact_seconds: Time after a cut from which on callers have to be
             served.
     """
-    return ReachTimes(
+    return ProbeTimes(
         max(LEAST_SILENCE_SECONDS, contact_seconds * SILENCE_SHARE),
         max(LEAST_SILENCE_SECONDS, contact_seconds * PROBE_SHARE),
     )
 
 
 @dataclass(slots=True)
-class GroupReach:
+class GroupReachability:
     """What this host has seen of a group of upstreams.
 
     Attributes:
@@ -101,7 +101,7 @@
         Several exchanges that break within a moment, between answers that come
         all the time, say nothing of the way.
         """
-        if len(self.failed) < LEAST_NEEDED:
+        if len(self.failed) < MIN_FAILURES:
             return False
         return now - self.failing_since >= LEAST_GAP_SECONDS
 
@@ -112,12 +112,12 @@
             size: Upstreams in the group. One alone is avoided like any
                 upstream that fails.
         """
-        needed = min(MOST_NEEDED, size)
-        return len(self.failed) >= max(LEAST_NEEDED, needed)
+        needed = min(MAX_FAILURES_NEEDED, size)
+        return len(self.failed) >= max(MIN_FAILURES, needed)
 
 
 def lost_groups(
-    groups: Mapping[str, GroupReach],
+    groups: Mapping[str, GroupReachability],
     members: Mapping[str, Iterable[str]],
 ) -> set[str]:
     """Return the groups of which no upstream is reached.
@@ -145,7 +145,7 @@
 
 
 @dataclass(slots=True)
-class OpeningReach:
+class NewConnectionReachability:
     """What new connections to upstreams have shown, apart from open ones.
 
     Open ones may live on while each new one is refused or reset, and a request
@@ -154,17 +154,17 @@
 
     Attributes:
         closed: Groups to which new connections fail; only `ALL` if it is that.
-        is_doubted: Whether new connections may have begun to fail just now.
+        is_suspect: Whether new connections may have begun to fail just now.
     """
 
     closed: frozenset[str] = frozenset()
-    is_doubted: bool = False
-    _groups: dict[str, GroupReach] = field(default_factory=dict)
+    is_suspect: bool = False
+    _groups: dict[str, GroupReachability] = field(default_factory=dict)
 
     @property
     def is_sound(self) -> bool:
         """Whether requests may go on new connections to all upstreams."""
-        return not (self.closed or self.is_doubted)
+        return not (self.closed or self.is_suspect)
 
     def may_open(self, groups: Collection[str]) -> bool:
         """Return whether a request may go on a new connection.
@@ -172,7 +172,7 @@
         Args:
             groups: The groups of its upstream.
         """
-        return not self.is_doubted and self.closed.isdisjoint(groups)
+        return not self.is_suspect and self.closed.isdisjoint(groups)
 
     def note_answered(self, groups: Collection[str], now: float) -> None:
         """Note an answer on a connection that had served nothing before.
@@ -181,7 +181,7 @@
             groups: The groups of the upstream.
             now: Monotonic time in seconds.
         """
-        self.is_doubted = False
+        self.is_suspect = False
         for name in groups:
             self._group(name).note_reached(now)
 
@@ -208,13 +208,13 @@
             group.note_failed(upstream, now)
             if name not in self.closed:
                 most = max(most, len(group.failed))
-        return most >= LEAST_NEEDED
+        return most >= MIN_FAILURES
 
-    def begin_doubt(self) -> bool:
+    def mark_suspect(self) -> bool:
         """Doubt new connections; return False if that tells nothing new."""
-        if self.is_doubted or ALL in self.closed:
+        if self.is_suspect or ALL in self.closed:
             return False
-        self.is_doubted = True
+        self.is_suspect = True
         return True
 
     def settle(self, members: Mapping[str, Iterable[str]]) -> bool:
@@ -229,12 +229,12 @@
         self.closed = outermost(lost_groups(self._groups, members))
         return self.closed != before
 
-    def _group(self, name: str) -> GroupReach:
-        return self._groups.setdefault(name, GroupReach())
+    def _group(self, name: str) -> GroupReachability:
+        return self._groups.setdefault(name, GroupReachability())
 
 
 @dataclass(slots=True)
-class SilenceWatch:
+class SilenceDetector:
     """Finds out that answers have stopped coming.
 
     Attributes:
@@ -268,7 +268,7 @@
             overdue: Upstreams that take far longer than expected.
         """
         is_missed = self.rate * silent_seconds >= MISSED_ANSWERS
-        return is_missed or overdue >= LEAST_NEEDED
+        return is_missed or overdue >= MIN_FAILURES
 
 
 def is_down(group: str, told: Iterable[Collection[str]]) -> bool:
--- a/src/wardstair/decisions/relief.py
+++ b/src/wardstair/decisions/rebalancing.py
@@ -14,39 +14,41 @@
 from dataclasses import dataclass
 
 # Requests for each slot, running and waiting, from which one is crowded.
-CROWDED = 0.8
+OVERLOADED = 0.8
 # Beside the mean of its service, so that a service that is full as a whole
 # moves nothing.
-CROWDED_MULTIPLE = 1.3
+OVERLOADED_MULTIPLE = 1.3
 # Mean of a service above which nothing moves: while most keys run first, or all
 # upstreams are full, every moved key is one more first run.
-MOST_MEAN = 1.0
+MAX_MEAN_UTILIZATION = 1.0
 # Part of its weight, and so about of its keys, that goes in one step.
-STEP = 0.1
+WEIGHT_STEP = 0.1
 # Beside the mean, from which one gets a step of its keys back.
-EMPTY_MULTIPLE = 0.6
-LEAST_WEIGHT = 0.4
+UNDERUSED_MULTIPLE = 0.6
+MIN_WEIGHT = 0.4
 # Seconds between steps: a key that has moved runs first in its new place, and
 # the load told has to show that.
-STEP_SECONDS = 1.0
+WEIGHT_STEP_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Crowd:
+class UpstreamUtilization:
     """How full an upstream is.
 
     Attributes:
         name: Names the upstream's run.
         weight: Factor on its weight now, 1 at most.
-        crowding: Requests for each slot, averaged over the last seconds.
+        utilization: Requests for each slot, averaged over the last seconds.
     """
 
     name: str
     weight: float
-    crowding: float
+    utilization: float
 
 
-def relieved(crowds: Collection[Crowd]) -> dict[str, float]:
+def rebalanced_weights(
+    crowds: Collection[UpstreamUtilization],
+) -> dict[str, float]:
     """Return new factors for the upstreams of a service whose factor changes.
 
     Args:
@@ -54,17 +56,17 @@
     """
     if not crowds:
         return {}
-    mean = sum(one.crowding for one in crowds) / len(crowds)
-    if mean >= MOST_MEAN:
+    mean = sum(one.utilization for one in crowds) / len(crowds)
+    if mean >= MAX_MEAN_UTILIZATION:
         return {}
-    limit = max(CROWDED, mean * CROWDED_MULTIPLE)
+    limit = max(OVERLOADED, mean * OVERLOADED_MULTIPLE)
     changed = {}
     for one in crowds:
         weight = one.weight
-        if one.crowding > limit:
-            weight = max(LEAST_WEIGHT, weight * (1 - STEP))
-        elif one.crowding < mean * EMPTY_MULTIPLE:
-            weight = min(1.0, weight / (1 - STEP))
+        if one.utilization > limit:
+            weight = max(MIN_WEIGHT, weight * (1 - WEIGHT_STEP))
+        elif one.utilization < mean * UNDERUSED_MULTIPLE:
+            weight = min(1.0, weight / (1 - WEIGHT_STEP))
         if weight != one.weight:
             changed[one.name] = weight
     return changed
--- a/src/wardstair/decisions/relays.py
+++ b/src/wardstair/decisions/relays.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from wardstair.decisions.membership import RELAYS_A_ZONE, rendezvous
+from wardstair.decisions.membership import RELAYS_PER_ZONE, rendezvous
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,4 +40,4 @@
     hosts = {host.name: host.hears_store for host in candidates}
     ranked = rendezvous(hosts, f'relay {zone}', len(hosts))
     ranked.sort(key=lambda name: not hosts[name])
-    return tuple(ranked[:RELAYS_A_ZONE])
+    return tuple(ranked[:RELAYS_PER_ZONE])
--- a/src/wardstair/decisions/route_work.py
+++ b/src/wardstair/decisions/route_profile.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class RouteWork:
+class RouteProfile:
     """What the requests of a route usually take, averaged.
 
     Attributes:
--- a/src/wardstair/decisions/sentinels.py
+++ b/src/wardstair/decisions/sentinels.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watcher:
+class SentinelCandidate:
     """A host that could watch the store.
 
     Attributes:
@@ -27,7 +27,7 @@
 
 
 def choose_sentinels(
-    hosts: Iterable[Watcher],
+    hosts: Iterable[SentinelCandidate],
     regions: Mapping[str, str],
 ) -> tuple[str, ...]:
     """Choose the hosts that watch closely, the same on all that ask.
--- a/src/wardstair/decisions/shares.py
+++ b/src/wardstair/decisions/shares.py
@@ -40,7 +40,7 @@
     return replace(shares, incarnations=registered)
 
 
-def fit(
+def fit_to_capacity(
     shares: Shares,
     sizes: Mapping[str, int],
     hosts: Iterable[str],
@@ -95,7 +95,7 @@
     return min(names, key=lambda name: (here[name], load[name], name))
 
 
-def pass_on(
+def reassign_tokens(
     shares: Shares,
     dead: str,
     incarnation: str,
@@ -135,7 +135,7 @@
     return owner
 
 
-def hand_over(
+def transfer_tokens(
     shares: Shares,
     giver: str,
     receiver: str,
--- a/src/wardstair/decisions/shifts.py
+++ b/src/wardstair/decisions/shifts.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class ShiftPace:
+class ShiftRamp:
     """The pace of one shift on one host.
 
     Attributes:
@@ -60,13 +60,13 @@
     age: float
 
 
-def next_pace(
-    pace: ShiftPace,
+def next_ramp(
+    pace: ShiftRamp,
     target: TargetView,
     cap: int,
     settle_seconds: float,
     now: float,
-) -> ShiftPace:
+) -> ShiftRamp:
     """Decide the pace anew, at most once in the time an answer is cached.
 
     Args:
--- a/src/wardstair/decisions/state_age.py
+++ b/src/wardstair/decisions/state_age.py
@@ -24,13 +24,13 @@
 
 # Hosts that an age may pass through, each of which takes ways that were longer
 # than assumed for age: handed round without end it would not grow at all.
-MOST_HOPS = 2
+MAX_HOPS = 2
 # A question that is not answered is asked once more beside the first.
 MOST_ASKING = 2
 
 
 @dataclass(frozen=True, slots=True)
-class ToldAge:
+class ReportedAge:
     """The age of a host's state, as it tells others.
 
     Attributes:
@@ -47,16 +47,16 @@
     """When a host asks the store, in seconds.
 
     Attributes:
-        look: Period of its looks at the age of its state.
-        ask_telling: Age from which on it asks if it tells others.
-        ask_other: The same if it does not.
-        again: Time after which it asks once more without an answer.
+        poll_interval: Period of its looks at the age of its state.
+        reporter_query_age: Age from which on it asks if it tells others.
+        other_query_age: The same if it does not.
+        retry_seconds: Time after which it asks once more without an answer.
     """
 
-    look: float
-    ask_telling: float
-    ask_other: float
-    again: float
+    poll_interval: float
+    reporter_query_age: float
+    other_query_age: float
+    retry_seconds: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     return reading.asked_at
 
 
-def way_seconds(*, is_near: bool) -> float:
+def transit_seconds(*, is_near: bool) -> float:
     """Return how long a datagram may have been on its way.
 
     Args:
@@ -106,40 +106,40 @@
 def refresh_times(
     news_seconds: float,
     name: str,
-    again: float,
+    retry_seconds: float,
 ) -> RefreshTimes:
     """Return when a host asks the store.
 
     Args:
         news_seconds: The tightest bound on news.
         name: Name of the host.
-        again: Seconds after which an answer of the store is late.
+        retry_seconds: Seconds after which an answer of the store is late.
     """
     share = OTHER_SHARE + SPREAD_SHARE * unit_hash(f'state age {name}')
     return RefreshTimes(
         news_seconds * LOOK_SHARE,
         news_seconds * TELLER_SHARE,
         news_seconds * share,
-        again,
+        retry_seconds,
     )
 
 
-def ask_after(times: RefreshTimes, *, tells_others: bool) -> float:
+def query_age(times: RefreshTimes, *, is_reporter: bool) -> float:
     """Return the age of its state, in seconds, from which on a host asks.
 
     Args:
         times: When it asks.
-        tells_others: Whether it speaks for its zone.
+        is_reporter: Whether it speaks for its zone.
     """
-    return times.ask_telling if tells_others else times.ask_other
+    return times.reporter_query_age if is_reporter else times.other_query_age
 
 
-def may_ask(asking: int, since: float, again: float) -> bool:
+def may_query(asking: int, since: float, retry_seconds: float) -> bool:
     """Return whether a host whose state is old asks the store now.
 
     Args:
         asking: Questions that are not answered yet.
         since: Seconds since the last question.
-        again: Seconds after which an answer is late.
+        retry_seconds: Seconds after which an answer is late.
     """
-    return asking < MOST_ASKING and since >= again
+    return asking < MOST_ASKING and since >= retry_seconds
--- a/src/wardstair/decisions/suspicion.py
+++ b/src/wardstair/decisions/suspicion.py
@@ -20,9 +20,9 @@
 # Wrongly held were none of 119,043 requests, and 3 of 118,865 where keys have
 # homes; of these 29 without explained ends, 5 without answers that clear, 69
 # without either.
-HELD_FROM = 3
+HOLD_THRESHOLD = 3
 # With this many, a request is not sent on or hedged within a try any more.
-SUSPECT_FROM = 2
+SUSPECT_THRESHOLD = 2
 # Answers of other upstreams that count against ended ones, one each. More would
 # let the answers to one caller excuse what another one's same bytes do.
 MOST_ANSWERS = 6
@@ -54,7 +54,7 @@
     def needed(self) -> int:
         """Lives from which the request is held."""
         others = self.answered - self.ended.keys()
-        return HELD_FROM + min(len(others), MOST_ANSWERS)
+        return HOLD_THRESHOLD + min(len(others), MOST_ANSWERS)
 
     @property
     def last_at(self) -> int:
@@ -103,7 +103,7 @@
     counts = {
         name: len(one.counted)
         for name, one in records.items()
-        if len(one.ended) >= HELD_FROM
+        if len(one.ended) >= HOLD_THRESHOLD
     }
-    enough = [name for name, count in counts.items() if count >= HELD_FROM]
+    enough = [name for name, count in counts.items() if count >= HOLD_THRESHOLD]
     return sorted(enough, key=lambda name: (-counts[name], name))
--- a/src/wardstair/decisions/timing.py
+++ b/src/wardstair/decisions/timing.py
@@ -11,7 +11,7 @@
 
 # Part of a bound that a chain takes at most. The rest is for what no chain
 # foresees.
-KEPT_SHARE = 0.8
+MAX_BOUND_SHARE = 0.8
 # Round trip between the regions that are furthest apart.
 ROUND_TRIP_SECONDS = 0.12
 # A way within a zone, and a fetch on it.
@@ -57,8 +57,8 @@
 # One heartbeat of a second, with its jitter, may be lost. A needless
 # replacement costs calls on the store; leaving a live host out of look-ups
 # would cost more, so these wait longer.
-LEAST_REPLACED_SECONDS = 1.6
-MOST_REPLACED_SECONDS = 3.0
+MIN_RELAY_TIMEOUT_SECONDS = 1.6
+MAX_RELAY_TIMEOUT_SECONDS = 3.0
 # Time after its start that a host takes to hear the others: until then it sends
 # nothing to cold upstreams, is no relay beside hosts that have a configuration,
 # and does not register in the store. Seeds may load for longer than others:
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Link:
+class PathStage:
     """A part of the way of news.
 
     Attributes:
@@ -95,33 +95,34 @@
         watch: Longest wait of the watch that the first sentinel uses as its
             clock.
         second_watch: The same of the second sentinel.
-        slack: Time after the wait at which a watch without an answer is
-            doubted, at least.
-        pause: Wait for further changes of upstreams after one.
-        repeat: Time after which news is told again.
-        role_look: Period of a host's looks at what its roles are.
+        watch_tolerance: Minimum time past the requested wait after which an
+            unanswered watch is treated as broken.
+        coalescing_delay: Wait for further changes of upstreams after one.
+        repeat_delay: Time after which news is told again.
+        role_poll_interval: Period of a host's looks at what its roles are.
         near_hedge: Wait for a host of the own zone before another is asked.
         far_hedge: The same for a host of another zone.
-        sentinel_beat: Period of the heartbeats of a sentinel.
+        sentinel_heartbeat: Period of the heartbeats of a sentinel.
         sentinel_silence: Silence after which a sentinel is replaced.
-        replaced: Silence after which a relay is replaced.
-        proof: Period of a relay's proofs of contact with the store.
-        rare_proof: The same of another host.
+        relay_timeout: Silence after which a relay is replaced.
+        contact_check_interval: Period at which a relay checks that it is in
+            contact with the store.
+        rare_contact_check_interval: The same of another host.
     """
 
     watch: float
     second_watch: float
-    slack: float
-    pause: float
-    repeat: float
-    role_look: float
+    watch_tolerance: float
+    coalescing_delay: float
+    repeat_delay: float
+    role_poll_interval: float
     near_hedge: float
     far_hedge: float
-    sentinel_beat: float
+    sentinel_heartbeat: float
     sentinel_silence: float
-    replaced: float
-    proof: float
-    rare_proof: float
+    relay_timeout: float
+    contact_check_interval: float
+    rare_contact_check_interval: float
 
 
 # Asked for at each look, some ten times a second.
@@ -135,27 +136,27 @@
             is emptied gets nothing more.
         contact_seconds: Undisturbed contact after which bounds hold.
     """
-    replaced = max(LEAST_REPLACED_SECONDS, news_seconds * REPLACED_SHARE)
+    replaced = max(MIN_RELAY_TIMEOUT_SECONDS, news_seconds * REPLACED_SHARE)
     proof = min(contact_seconds * PROOF_SHARE, MOST_PROOF_SECONDS)
     watch = _longest_watch(news_seconds)
     return Timing(
         watch=watch,
         second_watch=watch * SECOND_WATCH_FACTOR,
-        slack=_slack(news_seconds),
-        pause=_pause(news_seconds),
-        repeat=news_seconds * REPEAT_SHARE,
-        role_look=news_seconds * ROLE_SHARE,
+        watch_tolerance=_slack(news_seconds),
+        coalescing_delay=_pause(news_seconds),
+        repeat_delay=news_seconds * REPEAT_SHARE,
+        role_poll_interval=news_seconds * ROLE_SHARE,
         near_hedge=news_seconds * NEAR_HEDGE_SHARE,
         far_hedge=news_seconds * FAR_HEDGE_SHARE,
-        sentinel_beat=news_seconds * SENTINEL_BEAT_SHARE,
+        sentinel_heartbeat=news_seconds * SENTINEL_BEAT_SHARE,
         sentinel_silence=news_seconds * SENTINEL_SILENCE_SHARE,
-        replaced=min(replaced, MOST_REPLACED_SECONDS),
-        proof=proof,
-        rare_proof=proof / PROOF_SHARE * RARE_PROOF_SHARE,
+        relay_timeout=min(replaced, MAX_RELAY_TIMEOUT_SECONDS),
+        contact_check_interval=proof,
+        rare_contact_check_interval=proof / PROOF_SHARE * RARE_PROOF_SHARE,
     )
 
 
-def chains_for(news_seconds: float) -> dict[str, tuple[Link, ...]]:
+def propagation_paths(news_seconds: float) -> dict[str, tuple[PathStage, ...]]:
     """Return the ways by which news is known though one part of them fails.
 
     Each begins at the store's acknowledgement, or at the failure if that comes
@@ -168,21 +169,21 @@
     Returns:
         The links of each chain, by what fails in it.
     """
-    watch = Link('clock waits', _longest_watch(news_seconds))
+    watch = PathStage('clock waits', _longest_watch(news_seconds))
     return {
         failure: (watch, *links)
         for failure, links in _after_clock(news_seconds).items()
     } | _without_clock(news_seconds)
 
 
-def _after_clock(news: float) -> dict[str, tuple[Link, ...]]:
+def _after_clock(news: float) -> dict[str, tuple[PathStage, ...]]:
     """Return the chains that begin with the clock of a sentinel."""
-    doubt = Link('clock is late', _slack(news))
-    renewed = Link('new connection, answer', 2 * ROUND_TRIP_SECONDS)
-    role = Link('look at roles', news * ROLE_SHARE)
-    body = Link('size of a configuration', 2 * news * BODY_SHARE)
-    hedge = Link('a host does not answer', news * NEAR_HEDGE_SHARE)
-    near_fetch = Link('fetch in the zone', NEAR_FETCH_SECONDS)
+    doubt = PathStage('clock is late', _slack(news))
+    renewed = PathStage('new connection, answer', 2 * ROUND_TRIP_SECONDS)
+    role = PathStage('look at roles', news * ROLE_SHARE)
+    body = PathStage('size of a configuration', 2 * news * BODY_SHARE)
+    hedge = PathStage('a host does not answer', news * NEAR_HEDGE_SHARE)
+    near_fetch = PathStage('fetch in the zone', NEAR_FETCH_SECONDS)
     return {
         'all watches fall silent': (doubt, renewed, *_told(news)),
         'the ways of both sentinels fall silent': (
@@ -197,56 +198,56 @@
             *_told_far(news),
             renewed,
             body,
-            Link('heartbeat in the zone, lost once', news * REPEAT_SHARE),
+            PathStage('heartbeat in the zone, lost once', news * REPEAT_SHARE),
             hedge,
             near_fetch,
-            Link('work', news * WORK_SHARE),
+            PathStage('work', news * WORK_SHARE),
         ),
     }
 
 
-def _without_clock(news: float) -> dict[str, tuple[Link, ...]]:
-    joined = Link('changes are joined', _pause(news))
+def _without_clock(news: float) -> dict[str, tuple[PathStage, ...]]:
+    joined = PathStage('changes are joined', _pause(news))
     return {
         'both sentinels stand still': (
-            Link('sentinels are silent', news * SENTINEL_SILENCE_SHARE),
-            Link('look at roles', news * ROLE_SHARE),
-            Link('new connection, answer', 2 * ROUND_TRIP_SECONDS),
+            PathStage('sentinels are silent', news * SENTINEL_SILENCE_SHARE),
+            PathStage('look at roles', news * ROLE_SHARE),
+            PathStage('new connection, answer', 2 * ROUND_TRIP_SECONDS),
             *_told(news),
         ),
         'a change right after another': (
             joined,
-            Link('answer', ROUND_TRIP_SECONDS),
+            PathStage('answer', ROUND_TRIP_SECONDS),
             *_told(news),
         ),
         'datagrams are lost and a host does not answer': (
             joined,
-            Link('answer', ROUND_TRIP_SECONDS),
+            PathStage('answer', ROUND_TRIP_SECONDS),
             *_told_far(news),
-            Link('a host does not answer', news * FAR_HEDGE_SHARE),
-            Link('fetch', 2 * ROUND_TRIP_SECONDS),
+            PathStage('a host does not answer', news * FAR_HEDGE_SHARE),
+            PathStage('fetch', 2 * ROUND_TRIP_SECONDS),
             *_told_near(news),
         ),
     }
 
 
-def _told(news: float) -> tuple[Link, ...]:
+def _told(news: float) -> tuple[PathStage, ...]:
     return (*_told_far(news), *_told_near(news))
 
 
-def _told_far(news: float) -> tuple[Link, ...]:
+def _told_far(news: float) -> tuple[PathStage, ...]:
     return (
-        Link('datagram to another region', ROUND_TRIP_SECONDS / 2),
-        Link('it is lost once', news * REPEAT_SHARE),
+        PathStage('datagram to another region', ROUND_TRIP_SECONDS / 2),
+        PathStage('it is lost once', news * REPEAT_SHARE),
     )
 
 
-def _told_near(news: float) -> tuple[Link, ...]:
+def _told_near(news: float) -> tuple[PathStage, ...]:
     return (
-        Link('datagram in the zone', NEAR_SECONDS),
-        Link('it is lost once', news * REPEAT_SHARE),
-        Link('work', news * WORK_SHARE),
-        Link('a request on its way', 1.5 * ROUND_TRIP_SECONDS),
+        PathStage('datagram in the zone', NEAR_SECONDS),
+        PathStage('it is lost once', news * REPEAT_SHARE),
+        PathStage('work', news * WORK_SHARE),
+        PathStage('a request on its way', 1.5 * ROUND_TRIP_SECONDS),
     )
 
 
@@ -265,5 +266,5 @@
         sum(link.seconds for link in links)
         for links in _after_clock(news).values()
     )
-    left = news * KEPT_SHARE - taken
+    left = news * MAX_BOUND_SHARE - taken
     return min(max(left, LEAST_WATCH_SECONDS), MOST_WATCH_SECONDS)
--- a/src/wardstair/decisions/warmth.py
+++ b/src/wardstair/decisions/warm_keys.py
@@ -4,7 +4,7 @@
 
 # Keys that are kept an upstream; those it answered last. Upstreams remember
 # some thirty to fifty from all hosts together, most of them their own.
-MOST_KEYS = 24
+MAX_KEYS = 24
 # Keys that were not asked for during this time have probably been displaced.
 KEPT_SECONDS = 6.0
 
@@ -19,7 +19,7 @@
         """Note that the upstream has answered for a key."""
         self._seen.pop(key, None)
         self._seen[key] = now
-        if len(self._seen) > MOST_KEYS:
+        if len(self._seen) > MAX_KEYS:
             self._seen.pop(next(iter(self._seen)))
 
     def has(self, key: str, now: float) -> bool:
--- a/src/wardstair/fleet/beats.py
+++ b/src/wardstair/fleet/beats.py
@@ -11,7 +11,7 @@
 
 import cbor2
 
-from wardstair.decisions.state_age import ToldAge
+from wardstair.decisions.state_age import ReportedAge
 from wardstair.state.revision import NO_REVISION, Revision
 
 # Two versions of the program in one fleet drop each other's datagrams
@@ -183,7 +183,7 @@
     is_sentinel: bool = False
     is_doubting: bool = False
     lost: tuple[str, ...] = ()
-    state_age: ToldAge | None = None
+    state_age: ReportedAge | None = None
 
 
 def encode_beat(beat: Beat) -> bytes:
@@ -245,12 +245,12 @@
         return None
 
 
-def age_row(age: ToldAge | None) -> list[float]:
+def age_row(age: ReportedAge | None) -> list[float]:
     """Return an age as it travels; `age_of` is the inverse."""
     return [] if age is None else [round(age.seconds, 3), age.hops]
 
 
-def age_of(row: list[float]) -> ToldAge | None:
+def age_of(row: list[float]) -> ReportedAge | None:
     """Return the age that travelled as a row.
 
     Raises:
@@ -259,7 +259,7 @@
     if not row:
         return None
     seconds, hops = row
-    return ToldAge(float(seconds), int(hops))
+    return ReportedAge(float(seconds), int(hops))
 
 
 def _contact_row(contact: ContactAge | None) -> list[float]:
--- a/src/wardstair/fleet/members.py
+++ b/src/wardstair/fleet/members.py
@@ -8,8 +8,8 @@
 
 from wardstair.decisions.lapses import ContactSpan
 from wardstair.decisions.relays import RelayCandidate, choose_relays
-from wardstair.decisions.sentinels import Watcher, choose_sentinels
-from wardstair.decisions.timing import LEAST_REPLACED_SECONDS
+from wardstair.decisions.sentinels import SentinelCandidate, choose_sentinels
+from wardstair.decisions.timing import MIN_RELAY_TIMEOUT_SECONDS
 from wardstair.fleet.beats import Beat, ContactAge, PeerName
 from wardstair.fleet.member import Member
 from wardstair.process.log import log_event
@@ -71,11 +71,11 @@
     clock: Callable[[], float]
     hears_store: Callable[[], bool] = field(default=lambda: False)
     replaced_seconds: Callable[[], float] = field(
-        default=lambda: LEAST_REPLACED_SECONDS,
+        default=lambda: MIN_RELAY_TIMEOUT_SECONDS,
     )
     is_settled: Callable[[], bool] = field(default=lambda: True)
     sentinel_silence: Callable[[], float] = field(
-        default=lambda: LEAST_REPLACED_SECONDS,
+        default=lambda: MIN_RELAY_TIMEOUT_SECONDS,
     )
     is_sentinel: Callable[[], bool] = field(default=lambda: False)
     is_doubting: Callable[[], bool] = field(default=lambda: False)
@@ -135,13 +135,13 @@
             return None
         relays = {self.own.name, *self.relays}
         hosts = [
-            Watcher(one.peer.name, one.peer.zone)
+            SentinelCandidate(one.peer.name, one.peer.zone)
             for one in self.table.values()
             if self._may_watch(one)
             and (one.peer.zone != self.own.zone or one.peer.name in relays)
         ]
         if takes_part:
-            hosts.append(Watcher(self.own.name, self.own.zone))
+            hosts.append(SentinelCandidate(self.own.name, self.own.zone))
         chosen = choose_sentinels(hosts, regions)
         if not chosen:
             # Every relay has to look for itself.
--- a/src/wardstair/fleet/radio.py
+++ b/src/wardstair/fleet/radio.py
@@ -10,8 +10,8 @@
 from random import Random
 from typing import Protocol
 
-from wardstair.decisions.membership import RELAYS_A_ZONE
-from wardstair.decisions.state_age import ToldAge
+from wardstair.decisions.membership import RELAYS_PER_ZONE
+from wardstair.decisions.state_age import ReportedAge
 from wardstair.fleet.beats import (
     MOST_NAMED,
     Beat,
@@ -33,7 +33,7 @@
 LEAST_NEAR_SECONDS = 0.25
 NEAR_COVERS_SECONDS = 0.5
 # Hosts of each other zone that a relay sends to.
-FAR_TARGETS = RELAYS_A_ZONE
+FAR_TARGETS = RELAYS_PER_ZONE
 # A newcomer asks again this often until somebody answers.
 HELLO_SECONDS = 0.3
 # Datagrams with names of a newcomer's zone in one answer: 64 hosts, three times
@@ -90,7 +90,7 @@
         # Period of the heartbeats of a sentinel.
         self.sentinel_seconds: Callable[[], float] = lambda: BEAT_SECONDS
         # Age of the state that heartbeats tell.
-        self.state_age: Callable[[], ToldAge | None] = _no_age
+        self.state_age: Callable[[], ReportedAge | None] = _no_age
         # What heartbeats tell of the load of zones.
         self.zone_loads: ZoneLoads = _no_loads
         # Set once a host has answered, or has had the time to.
@@ -199,7 +199,7 @@
     def _tells_zone(self) -> bool:
         """Return whether hosts of the zone hear of others by this one alone."""
         members = self._members
-        return members.zone_size > RELAYS_A_ZONE and members.is_relay
+        return members.zone_size > RELAYS_PER_ZONE and members.is_relay
 
     def beat(self, seeds: Iterable[str]) -> None:
         """Do what is due each second.
@@ -423,7 +423,7 @@
         self._send_bytes(address, encode_beat(beat))
 
 
-def _no_age() -> ToldAge | None:
+def _no_age() -> ReportedAge | None:
     """Tell nothing; the default."""
     return None
 
--- a/src/wardstair/fleet/sharing.py
+++ b/src/wardstair/fleet/sharing.py
@@ -11,7 +11,7 @@
 
 import cbor2
 
-from wardstair.decisions.state_age import ToldAge
+from wardstair.decisions.state_age import ReportedAge
 from wardstair.decisions.suspicion import Evidence
 from wardstair.fleet.beats import Versions, age_of, age_row, versions_of
 from wardstair.state.catalog import CatalogChanges
@@ -88,7 +88,7 @@
     suspects: Mapping[str, Evidence] = field(default_factory=dict)
     limits: Mapping[str, SharedLimit] = field(default_factory=dict)
     restore: SharedRestore | None = None
-    age: ToldAge | None = None
+    age: ReportedAge | None = None
 
 
 @dataclass(slots=True)
--- a/src/wardstair/gateway/choosing.py
+++ b/src/wardstair/gateway/choosing.py
@@ -9,10 +9,10 @@
 from wardstair.decisions.fleet_rate import LoadView
 from wardstair.decisions.mechanisms import Mechanism
 from wardstair.decisions.notices import (
-    Standing,
-    return_after,
+    Availability,
+    accepting_upstreams,
+    retry_after_seconds,
     shortest_pause,
-    willing,
 )
 from wardstair.decisions.placement import (
     Candidate,
@@ -20,13 +20,13 @@
     expected_seconds,
 )
 from wardstair.decisions.placement_policies import (
-    PlacementAsk,
     PlacementPolicy,
-    WarmHome,
-    choose_by,
+    PlacementRequest,
+    WarmPreferred,
+    choose_by_policy,
 )
 from wardstair.decisions.ranking import unit_hash
-from wardstair.decisions.route_work import RouteWork
+from wardstair.decisions.route_profile import RouteProfile
 from wardstair.gateway.cold_sends import ColdSends
 from wardstair.gateway.distances import Distances
 from wardstair.gateway.homes import Haul, Homes, KeyAsk
@@ -143,7 +143,7 @@
         )
         self.splits = Splits()
         self.assumed_cold = Counter[ColdReason]()
-        self._work: dict[str, RouteWork] = {}
+        self._work: dict[str, RouteProfile] = {}
 
     @property
     def _policy(self) -> PlacementPolicy:
@@ -153,12 +153,12 @@
         """Return the service for a request; a split route's by weight."""
         return self.splits.service_of(route, key)
 
-    def work_of(self, route: SteeredRoute) -> RouteWork:
+    def work_of(self, route: SteeredRoute) -> RouteProfile:
         """Return the usual work of a route."""
         known = self._work.get(route.name)
         if known is None:
             # Half of the objective, until answers tell.
-            known = RouteWork(route.objective / 2)
+            known = RouteProfile(route.objective / 2)
             self._work[route.name] = known
         return known
 
@@ -263,7 +263,7 @@
             if upstream.name not in ask.tried
         ]
         match self._policy:
-            case WarmHome(first_ranks=first):
+            case WarmPreferred(first_ranks=first):
                 return [numbered[:first], numbered[first:]]
             case _:
                 return [numbered]
@@ -301,7 +301,7 @@
         notices = self._belief.notices
         ranked = self._homes.ranked(self._key_ask(ask))
         return bool(ranked) and all(
-            notices.standing(one) is Standing.closed for one in ranked
+            notices.standing(one) is Availability.closed for one in ranked
         )
 
     def pause_wait(self, ask: Ask) -> float | None:
@@ -317,7 +317,7 @@
         left = shortest_pause(map(notices.notice_of, ranked), time.monotonic())
         if left is None:
             return None
-        return min(return_after(left), MOST_WAIT_SECONDS)
+        return min(retry_after_seconds(left), MOST_WAIT_SECONDS)
 
     def _key_ask(self, ask: Ask) -> KeyAsk:
         name = ask.route.name
@@ -334,7 +334,9 @@
         notices = self._belief.notices
         if notices.is_idle:
             return ranked
-        return willing([(one, notices.standing(one)) for one in ranked])
+        return accepting_upstreams(
+            [(one, notices.standing(one)) for one in ranked]
+        )
 
     def _haul_of(self, ask: Ask) -> Haul:
         if ask.is_large:
@@ -353,12 +355,12 @@
             self._candidate(position, upstream, ask, now)
             for position, upstream in group
         ]
-        asked = PlacementAsk(
+        asked = PlacementRequest(
             self.work_of(ask.route).seconds,
             ask.queue_share,
             unit_hash(ask.request_id),
         )
-        choice = choose_by(self._policy, candidates, asked)
+        choice = choose_by_policy(self._policy, candidates, asked)
         if choice is None:
             return None
         upstream = by_name[choice.candidate.name]
--- a/src/wardstair/gateway/endpoints.py
+++ b/src/wardstair/gateway/endpoints.py
@@ -6,7 +6,7 @@
 
 from tornado.web import Application, RequestHandler
 
-from wardstair.decisions.reach import ALL
+from wardstair.decisions.reachability import ALL
 from wardstair.fleet.beats import PeerName
 from wardstair.fleet.members import Members
 from wardstair.fleet.naming import NamedHost, name_hosts
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -12,9 +12,9 @@
 from wardstair.decisions.answer_times import hedge_after
 from wardstair.decisions.homes import NO_REGION, regions_of
 from wardstair.decisions.mechanisms import Mechanism
-from wardstair.decisions.notices import Standing
+from wardstair.decisions.notices import Availability
 from wardstair.decisions.queueing import queue_share
-from wardstair.decisions.reach import ALL, service_group
+from wardstair.decisions.reachability import ALL, service_group
 from wardstair.decisions.resends import (
     ResendBudget,
     ResendLimit,
@@ -572,7 +572,7 @@
         if notices.is_idle:
             return
         standing = notices.standing(upstream)
-        if standing is not Standing.open:
+        if standing is not Availability.open:
             way = reason or FIRST_SEND
             self._reporter.sent_after_notice(
                 course.trail, upstream, standing, way
--- a/src/wardstair/gateway/gauges.py
+++ b/src/wardstair/gateway/gauges.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from wardstair.decisions.notices import Standing
+from wardstair.decisions.notices import Availability
 from wardstair.process.metrics import Metrics
 from wardstair.process.sink import LineSink
 from wardstair.state.upstream import Upstream
@@ -274,7 +274,7 @@
 def _state_of(host: 'GatewayHost', upstream: Upstream, now: float) -> str:
     if upstream.takes_work:
         standing = host.belief.notices.standing(upstream)
-        if standing is not Standing.open:
+        if standing is not Availability.open:
             return standing.value
     return upstream.state_now(now)
 
--- a/src/wardstair/gateway/handing_on.py
+++ b/src/wardstair/gateway/handing_on.py
@@ -16,7 +16,7 @@
     UpstreamConnection,
 )
 from wardstair.decisions.handover import HelpAsk, Helper, choose_helper
-from wardstair.decisions.reach import ALL, service_group
+from wardstair.decisions.reachability import ALL, service_group
 from wardstair.fleet.members import Members
 from wardstair.fleet.relaying import (
     RelayedAnswer,
--- a/src/wardstair/gateway/homes.py
+++ b/src/wardstair/gateway/homes.py
@@ -10,9 +10,13 @@
 
 from wardstair.decisions.locality import Kept, RegionPart, near_factor
 from wardstair.decisions.mechanisms import Mechanism
-from wardstair.decisions.ranking import Nearness, Place, rank
-from wardstair.decisions.region_pace import odds_factor
-from wardstair.decisions.relief import STEP_SECONDS, Crowd, relieved
+from wardstair.decisions.ranking import ProximityFactors, WeightedUpstream, rank
+from wardstair.decisions.rebalancing import (
+    WEIGHT_STEP_SECONDS,
+    UpstreamUtilization,
+    rebalanced_weights,
+)
+from wardstair.decisions.region_moves import odds_factor
 from wardstair.gateway.moving import RegionMoves
 from wardstair.gateway.settings import LiveSettings
 from wardstair.process.log import log_event
@@ -43,12 +47,12 @@
     zones, and a zone with one host shares its region's.
     """
 
-    light = Nearness(zone=1.6, region=1.5)
+    light = ProximityFactors(zone=1.6, region=1.5)
     # Bodies of some kilobytes rather stay in the zone.
-    heavy = Nearness(zone=2.4, region=1.0)
+    heavy = ProximityFactors(zone=2.4, region=1.0)
     # For an upload of tens of kilobytes the way counts for more than the
     # spread of keys.
-    large = Nearness(zone=6.0, region=4.0)
+    large = ProximityFactors(zone=6.0, region=4.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +87,9 @@
         self._settings = settings
         self._belief = belief
         self._ranked: dict[KeyAsk, list[Upstream]] = {}
-        self._near: dict[tuple[str, frozenset[str], Haul], Nearness] = {}
+        self._near: dict[
+            tuple[str, frozenset[str], Haul], ProximityFactors
+        ] = {}
         self._moves = RegionMoves()
         self._now = 0.0
         self._moved_at = 0.0
@@ -110,10 +116,10 @@
         """
         self._now = now
         self._follow_moves()
-        if now - self._stepped_at < STEP_SECONDS:
+        if now - self._stepped_at < WEIGHT_STEP_SECONDS:
             return
         self._stepped_at = now
-        if not self._settings.current.uses(Mechanism.relief):
+        if not self._settings.current.uses(Mechanism.rebalancing):
             return
         by_service: dict[str, list[Upstream]] = {}
         for upstream in self._belief.catalog.upstreams.values():
@@ -172,7 +178,9 @@
             return None
         return self._share(upstreams, self._nearness(ask, upstreams))
 
-    def _share(self, upstreams: list[Upstream], near: Nearness) -> float:
+    def _share(
+        self, upstreams: list[Upstream], near: ProximityFactors
+    ) -> float:
         own = 0.0
         total = 0.0
         for one in upstreams:
@@ -195,9 +203,11 @@
 
     def _relieve(self, upstreams: list[Upstream]) -> None:
         by_name = {upstream.name: upstream for upstream in upstreams}
-        changed = relieved(
+        changed = rebalanced_weights(
             [
-                Crowd(upstream.name, upstream.relief, upstream.crowding)
+                UpstreamUtilization(
+                    upstream.name, upstream.relief, upstream.crowding
+                )
                 for upstream in upstreams
             ]
         )
@@ -228,7 +238,7 @@
         offset = self._offset(ask.route)
         if offset:
             factor = odds_factor(self._share(upstreams, nearness), offset)
-            nearness = Nearness(
+            nearness = ProximityFactors(
                 nearness.zone * factor, nearness.region * factor
             )
         by_name = {upstream.name: upstream for upstream in upstreams}
@@ -238,10 +248,10 @@
         self,
         key: str,
         by_name: dict[str, Upstream],
-        nearness: Nearness,
+        nearness: ProximityFactors,
     ) -> list[Upstream]:
         places = [
-            Place(
+            WeightedUpstream(
                 name,
                 upstream.entry.slots
                 * upstream.relief
@@ -260,10 +270,12 @@
             return True
         return self._settings.current.zones.get(zone) in regions
 
-    def _nearness(self, ask: KeyAsk, upstreams: list[Upstream]) -> Nearness:
+    def _nearness(
+        self, ask: KeyAsk, upstreams: list[Upstream]
+    ) -> ProximityFactors:
         """Return the factors for one kind of request."""
-        plain: Nearness = ask.haul.value
-        uses = self._settings.current.uses(Mechanism.near_homes)
+        plain: ProximityFactors = ask.haul.value
+        uses = self._settings.current.uses(Mechanism.near_preferred)
         if not uses or ask.haul is Haul.large:
             return plain
         name = (ask.service, ask.regions, ask.haul)
@@ -276,13 +288,13 @@
             )
             factor *= self._zone_correction(plain, upstreams)
             ratio = plain.zone / plain.region
-            known = Nearness(factor * ratio, factor)
+            known = ProximityFactors(factor * ratio, factor)
             self._near[name] = known
         return known
 
     def _zone_correction(
         self,
-        plain: Nearness,
+        plain: ProximityFactors,
         upstreams: list[Upstream],
     ) -> float:
         """Return what keeps the region's weight as it is, whatever the zone's.
@@ -318,7 +330,7 @@
             for region, count in zones.items()
         }
 
-    def _factor(self, upstream: Upstream, nearness: Nearness) -> float:
+    def _factor(self, upstream: Upstream, nearness: ProximityFactors) -> float:
         zone = upstream.entry.zone
         if zone == self._settings.current.zone:
             return nearness.zone
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -9,8 +9,8 @@
 from wardstair.connection.pool import UpstreamPool
 from wardstair.decisions.authorisation import Freshness
 from wardstair.decisions.busyness import Busyness
-from wardstair.decisions.notices import Standing
-from wardstair.decisions.reach import reach_times
+from wardstair.decisions.notices import Availability
+from wardstair.decisions.reachability import probe_times
 from wardstair.decisions.state_age import RefreshTimes, refresh_times
 from wardstair.fleet.beats import Beat, PeerName
 from wardstair.fleet.demand import DemandTable
@@ -136,7 +136,7 @@
             own,
             clock,
             lambda: self.contact.is_held,
-            lambda: self.live_settings.current.timing.replaced,
+            lambda: self.live_settings.current.timing.relay_timeout,
             lambda: self.views.is_settled,
         )
         self.members.sentinel_silence = lambda: (
@@ -154,7 +154,7 @@
             random,
         )
         self.radio.sentinel_seconds = lambda: (
-            self.live_settings.current.timing.sentinel_beat
+            self.live_settings.current.timing.sentinel_heartbeat
         )
         self.contact.on_doubt = self._on_doubt
         roles = Roles(
@@ -218,7 +218,7 @@
             self.pool,
             random,
         )
-        self.belief.reach.times = lambda: reach_times(
+        self.belief.reach.times = lambda: probe_times(
             self.live_settings.current.bounds.contact_seconds,
         )
         self.belief.reach.on_change = self._on_reach
@@ -479,7 +479,7 @@
 
     def _refresh_times(self) -> RefreshTimes:
         settings = self.live_settings.current
-        again = self.store.slack.after(
+        again = self.store.slack.timeout(
             settings.timing.far_hedge,
             settings.news_seconds,
         )
@@ -564,4 +564,4 @@
         upstream = self.belief.catalog.upstreams.get(name)
         if upstream is None or not upstream.takes_work:
             return False
-        return self.belief.notices.standing(upstream) is not Standing.closed
+        return self.belief.notices.standing(upstream) is not Availability.closed
--- a/src/wardstair/gateway/learning.py
+++ b/src/wardstair/gateway/learning.py
@@ -144,7 +144,7 @@
                 suspects.note_answered(inbound.identity, upstream.life)
 
     def _trusts_load(self) -> bool:
-        return self._settings.current.uses(Mechanism.told_rejections)
+        return self._settings.current.uses(Mechanism.reported_rejections)
 
     def note_silence(self, case: SendCase, now: float) -> None:
         """Note against an upstream that it was far slower than expected.
--- a/src/wardstair/gateway/moving.py
+++ b/src/wardstair/gateway/moving.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from wardstair.decisions.region_pace import RegionMove
+from wardstair.decisions.region_moves import RegionMove
 from wardstair.process.log import log_event
 from wardstair.version.steering import SteeredRoute, Steering
 
--- a/src/wardstair/gateway/news.py
+++ b/src/wardstair/gateway/news.py
@@ -49,7 +49,7 @@
         self._send(news)
         self.close()
         self._repeat = asyncio.get_running_loop().call_later(
-            self._timing().repeat,
+            self._timing().repeat_delay,
             self._send,
             news,
         )
--- a/src/wardstair/gateway/reaching.py
+++ b/src/wardstair/gateway/reaching.py
@@ -14,7 +14,7 @@
     UpstreamPool,
 )
 from wardstair.connection.upstream import RawAnswer
-from wardstair.decisions.reach import ALL, zone_group
+from wardstair.decisions.reachability import ALL, zone_group
 from wardstair.state.belief import Belief
 from wardstair.state.entries import UpstreamEntry
 from wardstair.state.roles import ignore
@@ -82,7 +82,7 @@
         if reach.is_doubted:
             await self._ask(self._spread())
             reach.end_doubt()
-        elif reach.opening.is_doubted:
+        elif reach.opening.is_suspect:
             await self._ask(self._spread())
             reach.end_opening_doubt()
         elif reach.lost or reach.opening.closed:
@@ -97,7 +97,7 @@
     async def _wait(self) -> None:
         reach = self._reach
         self._doubted.clear()
-        if reach.is_doubted or reach.opening.is_doubted:
+        if reach.is_doubted or reach.opening.is_suspect:
             return
         try:
             async with asyncio.timeout(self._seconds_to_next()):
--- a/src/wardstair/gateway/reporting.py
+++ b/src/wardstair/gateway/reporting.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from wardstair.decisions.authorisation import ApiKeyFault
-from wardstair.decisions.notices import Standing
+from wardstair.decisions.notices import Availability
 from wardstair.decisions.ranking import unit_hash
 from wardstair.errors import RefusalKind
 from wardstair.gateway.choosing import Placement
@@ -203,7 +203,7 @@
         self,
         trail: Trail,
         upstream: Upstream,
-        notice: Standing,
+        notice: Availability,
         way: str,
     ) -> None:
         """Tell of a send to an upstream that wants no further requests.
--- a/src/wardstair/gateway/sending.py
+++ b/src/wardstair/gateway/sending.py
@@ -17,7 +17,7 @@
     RawAnswer,
     UpstreamConnection,
 )
-from wardstair.decisions.notices import Standing
+from wardstair.decisions.notices import Availability
 from wardstair.gateway.choosing import Placement
 from wardstair.gateway.distances import Distances
 from wardstair.gateway.messages import Inbound
@@ -37,7 +37,7 @@
 _LEAST_EXPECTED_SECONDS = 0.05
 # How an exchange ends on a connection that its upstream has forgotten.
 _FORGOTTEN = frozenset((BreakReason.reset, BreakReason.closed))
-_TAKE_NOTHING = frozenset((Standing.paused, Standing.closed))
+_TAKE_NOTHING = frozenset((Availability.paused, Availability.closed))
 # Statuses with which an upstream may ask for a pause.
 _PAUSING = frozenset((429, 503))
 # Statuses by which a caller takes a request for not run.
--- a/src/wardstair/gateway/witness.py
+++ b/src/wardstair/gateway/witness.py
@@ -11,7 +11,7 @@
 
 from wardstair.connection.probe import ProbeOutcome, probe
 from wardstair.decisions.controls import Placed, control_groups
-from wardstair.decisions.suspicion import SUSPECT_FROM
+from wardstair.decisions.suspicion import SUSPECT_THRESHOLD
 from wardstair.process.log import log_event, log_warning
 from wardstair.state.entries import UpstreamEntry
 from wardstair.state.suspects import SuspectTable
@@ -127,7 +127,7 @@
 
     def is_suspect(self, request: str) -> bool:
         """Return whether a request is to be sent once only, without a hedge."""
-        return self.count(request) >= SUSPECT_FROM
+        return self.count(request) >= SUSPECT_THRESHOLD
 
     def close(self) -> None:
         """End all tasks."""
--- a/src/wardstair/platform/store.py
+++ b/src/wardstair/platform/store.py
@@ -19,7 +19,7 @@
 
 from wardstair.connection.client import close_client, make_client
 from wardstair.connection.silence import notice_silence_of
-from wardstair.decisions.slack import AnswerSlack
+from wardstair.decisions.adaptive_timeout import AdaptiveTimeout
 from wardstair.errors import PlatformError, PlatformUnavailable
 from wardstair.platform.objects import StoredObject
 from wardstair.platform.store_answers import (
@@ -96,7 +96,7 @@
         self.calls = Counter[CallCase]()
         self.era = 0
         self.on_era: Callable[[int], None] = _ignore_era
-        self.slack = AnswerSlack()
+        self.slack = AdaptiveTimeout()
         self._address = address
         self._client = make_client(_MANY_TRANSFERS, _ANSWER_BYTES)
         # A watch has a client of its own: tornado cannot end a transfer that
--- a/src/wardstair/process/admission.py
+++ b/src/wardstair/process/admission.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wardstair.decisions.ledger import Ledger, Slot
-from wardstair.decisions.outside import (
+from wardstair.decisions.cross_region import (
     SHIFT_STALE_SECONDS,
     ActiveShift,
     Origin,
     shift_resource,
     tokens_needed,
 )
+from wardstair.decisions.ledger import Ledger, Slot
 from wardstair.errors import Refusal
 from wardstair.process.capacity import Capacity
 from wardstair.process.loans import Loans
--- a/src/wardstair/process/capacity.py
+++ b/src/wardstair/process/capacity.py
@@ -19,11 +19,11 @@
 )
 from wardstair.decisions.shares import (
     Shares,
-    fit,
-    hand_over,
-    pass_on,
+    fit_to_capacity,
+    reassign_tokens,
     register,
     surplus,
+    transfer_tokens,
 )
 from wardstair.errors import ObjectMissing, PlatformError, VersionConflict
 from wardstair.process.fleet import Fleet
@@ -155,7 +155,9 @@
         if self._me.name != min(set(heirs) - {dead.name}, default=''):
             return
         done = await self._change(
-            lambda shares: pass_on(shares, dead.name, dead.incarnation, heirs),
+            lambda shares: reassign_tokens(
+                shares, dead.name, dead.incarnation, heirs
+            ),
         )
         log_event('tokens-passed-on', dead=dead.name, done=done)
 
@@ -253,7 +255,7 @@
     def _fitted(self, shares: Shares) -> Shares:
         registered = register(shares, self._me.name, self._me.incarnation)
         sizes = {one.name: one.size for one in self._book.resources.values()}
-        return fit(registered, sizes, self._hosts, self._version)
+        return fit_to_capacity(registered, sizes, self._hosts, self._version)
 
     def _adopt_shares(self, stored: StoredObject) -> None:
         if self._stored and stored.version < self._stored.version:
@@ -323,7 +325,9 @@
         # Given up here already: if the write fails, the next reading of the
         # shares tells whose they are, and they settle anew.
         done = await self._change(
-            lambda shares: hand_over(shares, self._me.name, receiver, given),
+            lambda shares: transfer_tokens(
+                shares, self._me.name, receiver, given
+            ),
         )
         log_event('tokens-handed-over', to=receiver, count=count, done=done)
 
--- a/src/wardstair/process/fleet.py
+++ b/src/wardstair/process/fleet.py
@@ -8,7 +8,7 @@
 
 from wardstair.decisions.ledger import Identity
 from wardstair.decisions.membership import (
-    RELAYS_A_ZONE,
+    RELAYS_PER_ZONE,
     FarHost,
     HostRow,
     HostState,
@@ -106,7 +106,7 @@
 
     def relays(self) -> list[str]:
         """Return the hosts that speak for the zone."""
-        return rendezvous(self.live_names(), self._zone, RELAYS_A_ZONE)
+        return rendezvous(self.live_names(), self._zone, RELAYS_PER_ZONE)
 
     def probed_here(self, upstreams: list[str]) -> list[str]:
         """Return the upstreams that this host probes for the zone."""
@@ -437,7 +437,7 @@
             return None
         if not known or self._random.random() < 0.2:
             return models[self._random.choice(sorted(models))]
-        relays = rendezvous(known, zone, RELAYS_A_ZONE)
+        relays = rendezvous(known, zone, RELAYS_PER_ZONE)
         return models[self._random.choice(relays)]
 
     def _tell_zone(self, message: ZoneGossip) -> None:
--- a/src/wardstair/process/shifting.py
+++ b/src/wardstair/process/shifting.py
@@ -2,7 +2,7 @@
 
 import time
 
-from wardstair.decisions.shifts import ShiftPace, TargetView, next_pace
+from wardstair.decisions.shifts import ShiftRamp, TargetView, next_ramp
 from wardstair.process.fleet import Fleet
 from wardstair.process.log import log_event
 from wardstair.request.lookup import ShiftShare
@@ -21,7 +21,7 @@
         Args:
             fleet: Reports of the targets.
         """
-        self.paces: dict[str, ShiftPace] = {}
+        self.paces: dict[str, ShiftRamp] = {}
         self._fleet = fleet
 
     def decide(
@@ -46,11 +46,11 @@
         topology: Topology,
         shift: CappedShift,
         now: float,
-    ) -> ShiftPace:
-        before = self.paces.get(shift.name, ShiftPace())
+    ) -> ShiftRamp:
+        before = self.paces.get(shift.name, ShiftRamp())
         settle = topology.document.lookup_ttl_seconds * SETTLE_FACTOR
         target = self._target(topology, shift)
-        pace = next_pace(before, target, shift.cap, settle, now)
+        pace = next_ramp(before, target, shift.cap, settle, now)
         self.paces[shift.name] = pace
         if pace.per_mille != before.per_mille:
             log_event(
--- a/src/wardstair/request/forwarding.py
+++ b/src/wardstair/request/forwarding.py
@@ -13,6 +13,7 @@
     Outgoing,
 )
 from wardstair.connection.pipe import Pipe, PipeBroken
+from wardstair.decisions.at_most_once import KEPT_ANSWER_BYTES
 from wardstair.decisions.attempts import (
     Abandoned,
     Answered,
@@ -24,7 +25,6 @@
     may_have_run,
     retry_reason,
 )
-from wardstair.decisions.once import KEPT_ANSWER_BYTES
 from wardstair.decisions.retries import (
     FailedAttempt,
     RetryBudgets,
--- a/src/wardstair/request/lookup.py
+++ b/src/wardstair/request/lookup.py
@@ -7,8 +7,8 @@
 
 from xxhash import xxh32_intdigest
 
+from wardstair.decisions.at_most_once import RequestKey
 from wardstair.decisions.ledger import Identity
-from wardstair.decisions.once import RequestKey
 from wardstair.errors import Refusal, RefusalKind
 from wardstair.request.problem import bad_header
 from wardstair.version.document import HostModel
--- a/src/wardstair/request/once.py
+++ b/src/wardstair/request/once.py
@@ -15,8 +15,7 @@
 from result import Err, Ok
 
 from wardstair.connection.exchange import IncomingHead
-from wardstair.decisions.ledger import Identity
-from wardstair.decisions.once import (
+from wardstair.decisions.at_most_once import (
     AlreadyRun,
     InProgress,
     KeptAnswer,
@@ -29,6 +28,7 @@
     UnknownOutcome,
     parse_key,
 )
+from wardstair.decisions.ledger import Identity
 from wardstair.errors import VersionConflict
 from wardstair.process.platform import PlatformClient
 from wardstair.request import problem
@@ -122,7 +122,7 @@
         issued = parse_key(key)
         if issued is None:
             return await self._claim(key)
-        home = Identity(issued.home, issued.incarnation)
+        home = Identity(issued.owner, issued.incarnation)
         if home == self._me:
             return HomeHere(issued.issued_at)
         return HomeElsewhere(home)
@@ -189,7 +189,7 @@
                 self._table.release(key)
             case Delivered(head=head) if head.first('not-run') == 'false':
                 # Another entry host on the way could not tell.
-                self._table.lose(key, now)
+                self._table.mark_unknown(key, now)
             case Delivered(head=head, body=bytes(body)):
                 headers = tuple(head.headers)
                 self._table.finish(
@@ -198,9 +198,9 @@
                     now,
                 )
             case Delivered(head=head):
-                self._table.finish_unkept(key, now)
+                self._table.finish_without_answer(key, now)
             case _:
-                self._table.lose(key, now)
+                self._table.mark_unknown(key, now)
 
     async def _claim(self, key: str) -> Home:
         name = hashlib.sha256(key.encode()).hexdigest()
--- a/src/wardstair/state/age.py
+++ b/src/wardstair/state/age.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from wardstair.decisions.state_age import MOST_HOPS, ToldAge
+from wardstair.decisions.state_age import MAX_HOPS, ReportedAge
 from wardstair.state.revision import NO_REVISION, Revision
 from wardstair.state.roles import ignore
 
@@ -39,7 +39,7 @@
         # Moments up to which each kind is complete, by hops since the store was
         # read. Until something is known, the age counts from the start.
         self._moments = {
-            kind: [now for _ in range(MOST_HOPS + 1)] for kind in kinds
+            kind: [now for _ in range(MAX_HOPS + 1)] for kind in kinds
         }
         self._known = set[str]()
         # Revision of the store up to which all of a kind is known.
@@ -51,17 +51,17 @@
     @property
     def seconds(self) -> float:
         """Age of the state: nothing acknowledged before that is missing."""
-        return self._clock() - self._complete_at(MOST_HOPS)
+        return self._clock() - self._complete_at(MAX_HOPS)
 
     @property
-    def told(self) -> ToldAge | None:
+    def told(self) -> ReportedAge | None:
         """Age to tell other hosts; None while it is not known."""
         if len(self._known) < len(self._moments):
             return None
         moment, hops = max(
-            (self._complete_at(hops), -hops) for hops in range(MOST_HOPS)
+            (self._complete_at(hops), -hops) for hops in range(MAX_HOPS)
         )
-        return ToldAge(self._clock() - moment, -hops)
+        return ReportedAge(self._clock() - moment, -hops)
 
     def note_read(self, kind: str, revision: Revision, moment: float) -> None:
         """Note an answer of the store about one kind.
@@ -75,13 +75,15 @@
             moment: Monotonic time in seconds up to which it is complete.
         """
         self._complete_to[kind] = max(self._complete_to[kind], revision)
-        before = self._complete_at(MOST_HOPS)
+        before = self._complete_at(MAX_HOPS)
         for other, known in self._complete_to.items():
             if known >= revision:
                 self._set(other, moment, 0)
         self._note_gain(before)
 
-    def note_told(self, told: ToldAge, asked_at: float | None = None) -> None:
+    def note_told(
+        self, told: ReportedAge, asked_at: float | None = None
+    ) -> None:
         """Note that this host knows all that another one does.
 
         Args:
@@ -89,9 +91,9 @@
             asked_at: When this host had asked for it; None if it came unasked.
         """
         hops = told.hops + 1
-        if hops > MOST_HOPS:
+        if hops > MAX_HOPS:
             return
-        before = self._complete_at(MOST_HOPS)
+        before = self._complete_at(MAX_HOPS)
         moment = (
             self._clock() - self._waited() if asked_at is None else asked_at
         )
@@ -129,10 +131,10 @@
         """Note that a kind is complete up to a moment, over so many hops."""
         self._known.add(kind)
         moments = self._moments[kind]
-        for most in range(hops, MOST_HOPS + 1):
+        for most in range(hops, MAX_HOPS + 1):
             moments[most] = max(moments[most], moment)
 
     def _note_gain(self, before: float) -> None:
         """Have others told if the state is known to be newer than before."""
-        if self._complete_at(MOST_HOPS) - before >= LEAST_GAIN_SECONDS:
+        if self._complete_at(MAX_HOPS) - before >= LEAST_GAIN_SECONDS:
             self.on_fresh()
--- a/src/wardstair/state/exchange.py
+++ b/src/wardstair/state/exchange.py
@@ -20,7 +20,7 @@
 
 from wardstair.connection.client import close_client, make_client
 from wardstair.decisions.fetches import host_to_ask, is_one_late
-from wardstair.decisions.state_age import way_seconds
+from wardstair.decisions.state_age import transit_seconds
 from wardstair.decisions.suspicion import Evidence
 from wardstair.decisions.timing import Timing
 from wardstair.fleet.beats import Beat, Versions
@@ -282,7 +282,7 @@
         """Fetch from a host that is ahead or differs, if none is asked now."""
         if beat.state_age is not None and not self._is_behind(beat.versions):
             is_near = beat.sender.zone == self._zone
-            way = way_seconds(is_near=is_near)
+            way = transit_seconds(is_near=is_near)
             told = replace(beat.state_age, seconds=beat.state_age.seconds + way)
             self._belief.age.note_told(told)
         self._classify(beat)
--- a/src/wardstair/state/notices.py
+++ b/src/wardstair/state/notices.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from wardstair.decisions.notices import Notice, Standing, standing_of
+from wardstair.decisions.notices import Availability, Notice, availability_of
 from wardstair.process.log import log_event
 from wardstair.state.upstream import Upstream
 
@@ -48,7 +48,7 @@
 
     clock: Callable[[], float] = time.monotonic
     drain_seconds: Callable[[], float] = lambda: 0.0
-    told: Counter[Standing] = field(default_factory=Counter)
+    told: Counter[Availability] = field(default_factory=Counter)
     _rows: dict[str, _Row] = field(default_factory=dict)
 
     @property
@@ -64,7 +64,7 @@
         """
         return self._known(upstream) or Notice()
 
-    def standing(self, upstream: Upstream) -> Standing:
+    def standing(self, upstream: Upstream) -> Availability:
         """Return what a life of an upstream takes from this host now.
 
         Args:
@@ -72,8 +72,8 @@
         """
         notice = self._known(upstream)
         if notice is None:
-            return Standing.open
-        return standing_of(notice, self.clock(), self.drain_seconds())
+            return Availability.open
+        return availability_of(notice, self.clock(), self.drain_seconds())
 
     def note_leaving(self, upstream: Upstream) -> None:
         """Note that an answer of an upstream says that it will end soon.
@@ -81,7 +81,7 @@
         Args:
             upstream: The life whose answer it is.
         """
-        self.told[Standing.leaving] += 1
+        self.told[Availability.leaving] += 1
         row = self._row_of(upstream)
         if row is None or row.notice.leaving_since is not None:
             return
@@ -102,7 +102,7 @@
             upstream: The life whose answer it is.
             seconds: How long, from now.
         """
-        self.told[Standing.paused] += 1
+        self.told[Availability.paused] += 1
         row = self._row_of(upstream)
         if row is None or seconds <= 0:
             return
--- a/src/wardstair/state/reach.py
+++ b/src/wardstair/state/reach.py
@@ -8,16 +8,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from wardstair.decisions.reach import (
+from wardstair.decisions.reachability import (
     ALL,
-    LEAST_NEEDED,
-    GroupReach,
-    OpeningReach,
-    ReachTimes,
-    SilenceWatch,
+    MIN_FAILURES,
+    GroupReachability,
+    NewConnectionReachability,
+    ProbeTimes,
+    SilenceDetector,
     lost_groups,
     outermost,
-    reach_times,
+    probe_times,
     service_group,
     zone_group,
 )
@@ -53,15 +53,17 @@
     is_doubted: bool = False
     answers: int = 0
     doubts: int = 0
-    opening: OpeningReach = field(default_factory=OpeningReach)
-    times: Callable[[], ReachTimes] = lambda: reach_times(DEFAULT_CONTACT)
+    opening: NewConnectionReachability = field(
+        default_factory=NewConnectionReachability
+    )
+    times: Callable[[], ProbeTimes] = lambda: probe_times(DEFAULT_CONTACT)
     on_doubt: Callable[[], None] = ignore
     on_opening_doubt: Callable[[], None] = ignore
     on_change: Callable[[], None] = ignore
     on_regained: Callable[[frozenset[str]], None] = lambda _groups: None
-    _watch: SilenceWatch = field(default_factory=SilenceWatch)
-    _groups: dict[str, GroupReach] = field(default_factory=dict)
-    _places: dict[tuple[str, str], tuple[GroupReach, ...]] = field(
+    _watch: SilenceDetector = field(default_factory=SilenceDetector)
+    _groups: dict[str, GroupReachability] = field(default_factory=dict)
+    _places: dict[tuple[str, str], tuple[GroupReachability, ...]] = field(
         default_factory=dict,
     )
 
@@ -88,7 +90,7 @@
     @property
     def has_failures(self) -> bool:
         """Whether several upstreams have failed with no answer between."""
-        return len(self._group(ALL).failed) >= LEAST_NEEDED
+        return len(self._group(ALL).failed) >= MIN_FAILURES
 
     @property
     def is_failing(self) -> bool:
@@ -165,13 +167,13 @@
         if not opening.note_failed(entry.name, _names_of(entry), now):
             return
         self._settle_opening()
-        if opening.begin_doubt():
+        if opening.mark_suspect():
             log_event('opening-doubted', upstream=entry.name)
             self.on_opening_doubt()
 
     def end_opening_doubt(self) -> None:
         """Note that upstreams were asked on new connections."""
-        self.opening.is_doubted = False
+        self.opening.is_suspect = False
 
     def begin_doubt(self, reason: str) -> None:
         """Note that no upstream may be within reach.
@@ -208,10 +210,10 @@
             if group in _names_of(entry)
         ]
 
-    def _group(self, name: str) -> GroupReach:
-        return self._groups.setdefault(name, GroupReach())
+    def _group(self, name: str) -> GroupReachability:
+        return self._groups.setdefault(name, GroupReachability())
 
-    def _groups_of(self, entry: UpstreamEntry) -> tuple[GroupReach, ...]:
+    def _groups_of(self, entry: UpstreamEntry) -> tuple[GroupReachability, ...]:
         place = (entry.zone, entry.service)
         known = self._places.get(place)
         if known is None:
--- a/src/wardstair/state/refreshing.py
+++ b/src/wardstair/state/refreshing.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from wardstair.decisions.state_age import RefreshTimes, ask_after, may_ask
+from wardstair.decisions.state_age import RefreshTimes, may_query, query_age
 from wardstair.decisions.timing import SETTLE_SECONDS
 from wardstair.process.log import log_event
 from wardstair.state.belief import Belief
@@ -57,8 +57,8 @@
         """Look until cancelled."""
         while True:
             times = self._times()
-            await asyncio.sleep(times.look)
-            self._belief.age.look(times.look)
+            await asyncio.sleep(times.poll_interval)
+            self._belief.age.look(times.poll_interval)
             is_new_sentinel = self._sync.follow_role()
             # While a fleet starts, each host is a sentinel for a moment.
             if self._has_begun() and (is_new_sentinel or self._is_old(times)):
@@ -66,11 +66,13 @@
 
     def _is_old(self, times: RefreshTimes) -> bool:
         age = self._belief.age.seconds
-        if age < times.ask_telling:
+        if age < times.reporter_query_age:
             return False
         since = asyncio.get_running_loop().time() - self._asked_at
-        ask = ask_after(times, tells_others=self._roles.is_relay())
-        return age >= ask and may_ask(len(self._asking), since, times.again)
+        ask = query_age(times, is_reporter=self._roles.is_relay())
+        return age >= ask and may_query(
+            len(self._asking), since, times.retry_seconds
+        )
 
     def _has_begun(self) -> bool:
         if self._belief.steering is None:
--- a/src/wardstair/state/suspects.py
+++ b/src/wardstair/state/suspects.py
@@ -11,8 +11,8 @@
 from xxhash import xxh3_64_intdigest
 
 from wardstair.decisions.suspicion import (
-    HELD_FROM,
-    SUSPECT_FROM,
+    HOLD_THRESHOLD,
+    SUSPECT_THRESHOLD,
     Evidence,
     held_requests,
     merge,
@@ -200,12 +200,12 @@
         return {
             request: one
             for request, one in self.records.items()
-            if len(one.ended) >= SUSPECT_FROM or one.lifted_at
+            if len(one.ended) >= SUSPECT_THRESHOLD or one.lifted_at
         }
 
 
 def _kept_seconds(evidence: Evidence) -> int:
-    is_full = len(evidence.ended) >= HELD_FROM
+    is_full = len(evidence.ended) >= HOLD_THRESHOLD
     return HELD_SECONDS if is_full else SUSPECT_SECONDS
 
 
--- a/src/wardstair/state/sync.py
+++ b/src/wardstair/state/sync.py
@@ -103,9 +103,9 @@
             contact,
             FollowPlan(
                 UPSTREAM_KIND,
-                pause=lambda: timing().pause,
+                pause=lambda: timing().coalescing_delay,
                 is_wanted=self._wants_upstreams,
-                look=lambda: timing().role_look,
+                look=lambda: timing().role_poll_interval,
                 resumes=True,
             ),
             FollowSinks(
@@ -156,7 +156,11 @@
         while True:
             is_relay = self._roles.is_relay()
             timing = self._timing()
-            await asyncio.sleep(timing.proof if is_relay else timing.rare_proof)
+            await asyncio.sleep(
+                timing.contact_check_interval
+                if is_relay
+                else timing.rare_contact_check_interval
+            )
             if self._contact.is_lost and is_relay:
                 # Its watches ask whether the store is back.
                 continue
@@ -187,8 +191,8 @@
         """Return how late the answer to that watch may be, in seconds."""
         if not self._roles.is_sentinel():
             return None
-        least = self._timing().slack
-        return self._store.slack.after(least, WATCH_SLACK_SECONDS)
+        least = self._timing().watch_tolerance
+        return self._store.slack.timeout(least, WATCH_SLACK_SECONDS)
 
     def _wants_upstreams(self) -> bool:
         if not self._roles.is_sentinel():
--- a/src/wardstair/state/upstream.py
+++ b/src/wardstair/state/upstream.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 
 from wardstair.decisions.answer_times import overdue_after
-from wardstair.decisions.warmth import WarmKeys
+from wardstair.decisions.warm_keys import WarmKeys
 from wardstair.process.log import log_event
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
 
--- a/src/wardstair/version/resources.py
+++ b/src/wardstair/version/resources.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from wardstair.decisions.ledger import settle_seconds
-from wardstair.decisions.outside import (
+from wardstair.decisions.cross_region import (
     ActiveShift,
-    outside_resource,
-    outside_tokens,
+    cross_region_resource,
+    cross_region_tokens,
     shift_resource,
     zone_part,
 )
+from wardstair.decisions.ledger import settle_seconds
 from wardstair.version.document import WorkloadModel
 from wardstair.version.topology import Topology
 
@@ -110,9 +110,9 @@
             if model.zone == zone and model.workload == workload.name
         )
         yield Resource(
-            outside_resource(workload.name),
+            cross_region_resource(workload.name),
             workload.name,
-            outside_tokens(slots, share),
+            cross_region_tokens(slots, share),
             _hold(workload),
         )
 
--- a/tests/functional/test_gateway_requests.py
+++ b/tests/functional/test_gateway_requests.py
@@ -573,7 +573,7 @@
 
     async def test(rig: Rig) -> None:
         live = rig.gateway.live_settings
-        off = frozenset((Mechanism.told_rejections,))
+        off = frozenset((Mechanism.reported_rejections,))
         live.current = replace(live.current, switched_off=off)
         await rig.ask()
         assert rig.gateway.belief.catalog.upstreams['i-1'].told == 12
--- a/tests/functional/test_news_age.py
+++ b/tests/functional/test_news_age.py
@@ -3,7 +3,7 @@
 import pytest
 from lib.news_troubles import BOUNDS, play_troubles
 
-from wardstair.decisions.timing import KEPT_SHARE
+from wardstair.decisions.timing import MAX_BOUND_SHARE
 
 # Zones in each of three regions, and hosts in each zone.
 ZONES = 2
@@ -24,4 +24,4 @@
 ) -> None:
     outcome = play_troubles(troubles, ZONES, HOSTS, seed)
     used = max(outcome.held.seconds, outcome.ran.seconds)
-    assert used <= BOUNDS.drain_seconds * KEPT_SHARE
+    assert used <= BOUNDS.drain_seconds * MAX_BOUND_SHARE
--- a/tests/functional/test_stuck_fetch.py
+++ b/tests/functional/test_stuck_fetch.py
@@ -11,7 +11,7 @@
 from lib.virtual_time import run_virtual
 from tornado.httpclient import HTTPClientError, HTTPRequest, HTTPResponse
 
-from wardstair.decisions.timing import KEPT_SHARE
+from wardstair.decisions.timing import MAX_BOUND_SHARE
 from wardstair.fleet.beats import Versions
 from wardstair.gateway.host import GatewayHost
 
@@ -160,7 +160,7 @@
     seed: int,
 ) -> None:
     shown = play_stuck(stuck, seed, differs=False)
-    assert shown.seconds <= BOUNDS.drain_seconds * KEPT_SHARE
+    assert shown.seconds <= BOUNDS.drain_seconds * MAX_BOUND_SHARE
     assert shown.asked > stuck
     assert shown.most == 1
 
@@ -170,7 +170,7 @@
     seed: int,
 ) -> None:
     shown = play_stuck(0, seed, differs=True)
-    assert shown.seconds <= BOUNDS.drain_seconds * KEPT_SHARE
+    assert shown.seconds <= BOUNDS.drain_seconds * MAX_BOUND_SHARE
     assert shown.most == 1
 
 
--- a/tests/functional/test_upstream_notices.py
+++ b/tests/functional/test_upstream_notices.py
@@ -21,7 +21,7 @@
 
 from wardstair.connection.pool import ConnectFailed
 from wardstair.connection.upstream import UpstreamConnection
-from wardstair.decisions.notices import Standing
+from wardstair.decisions.notices import Availability
 from wardstair.gateway.settings import Bounds
 
 SEAL = 'Wardstair-Server-Seal: s.1\r\n'
@@ -165,12 +165,14 @@
         async with Rig(*upstreams, bounds=bounds) as rig:
             table = rig.gateway.belief.notices
             lives = rig.gateway.belief.catalog.of_service('views')
-            while any(table.standing(one) is Standing.open for one in lives):
+            while any(
+                table.standing(one) is Availability.open for one in lives
+            ):
                 assert (await rig.ask('/read/x')).status == 200
             assert (await rig.ask('/order/x', 'POST', b'1')).status == 200
             await rig.until(
                 lambda: all(
-                    table.standing(one) is Standing.closed for one in lives
+                    table.standing(one) is Availability.closed for one in lives
                 )
             )
             came = len(notifier.came)
--- a/tests/lib/limited_service.py
+++ b/tests/lib/limited_service.py
@@ -11,7 +11,7 @@
 
 from lib.upstreams import ENTRY
 from wardstair.decisions.fleet_rate import LoadView
-from wardstair.decisions.ranking import Place, rank
+from wardstair.decisions.ranking import WeightedUpstream, rank
 from wardstair.gateway.limited_sends import WAITED_SHARE, LimitedSends
 from wardstair.platform.headers import ToldLimit
 from wardstair.state.limits import LimitTable
@@ -171,7 +171,7 @@
     def place(self, upstreams: list[Upstream], one: Arrival) -> str | None:
         """Send a try to the first upstream that takes it."""
         by_name = {upstream.name: upstream for upstream in upstreams}
-        places = [Place(name, 1.0) for name in by_name]
+        places = [WeightedUpstream(name, 1.0) for name in by_name]
         ranked = [by_name[name] for name in rank(one.key, places)]
         due = [each for each in ranked if self.sends.are_due(each, one.at)]
         if not due:
--- a/tests/unit/test_fleet_shares.py
+++ b/tests/unit/test_fleet_shares.py
@@ -22,7 +22,7 @@
     ResendLimit,
     host_limit,
 )
-from wardstair.decisions.sentinels import Watcher, choose_sentinels
+from wardstair.decisions.sentinels import SentinelCandidate, choose_sentinels
 from wardstair.decisions.split import TOLERANCE, SplitTally
 from wardstair.fleet.beats import PeerName
 from wardstair.fleet.members import GONE_SECONDS, Members
@@ -229,7 +229,8 @@
 def test_sentinels_are_the_same_for_all_and_of_different_regions() -> None:
     regions = {'a1': 'a', 'a2': 'a', 'b1': 'b'}
     hosts = [
-        Watcher(f'h{n}', zone) for n, zone in enumerate(['a1', 'a2', 'b1'])
+        SentinelCandidate(f'h{n}', zone)
+        for n, zone in enumerate(['a1', 'a2', 'b1'])
     ]
     chosen = choose_sentinels(hosts, regions)
     assert chosen == choose_sentinels(reversed(hosts), regions)
--- a/tests/unit/test_gateway_settings.py
+++ b/tests/unit/test_gateway_settings.py
@@ -105,4 +105,4 @@
     file.write_text(text)
     settings = load_settings(file)
     assert not settings.uses(Mechanism.hedging)
-    assert settings.uses(Mechanism.told_rejections)
+    assert settings.uses(Mechanism.reported_rejections)
--- a/tests/unit/test_handover.py
+++ b/tests/unit/test_handover.py
@@ -6,7 +6,7 @@
 import pytest
 
 from wardstair.decisions.handover import HelpAsk, Helper, choose_helper
-from wardstair.decisions.reach import ALL, service_group
+from wardstair.decisions.reachability import ALL, service_group
 from wardstair.fleet.relaying import (
     RelayedAnswer,
     RelayedRequest,
--- a/tests/unit/test_homes.py
+++ b/tests/unit/test_homes.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 
 from wardstair.decisions.locality import Kept, RegionPart, near_factor
-from wardstair.decisions.ranking import Place, rank
-from wardstair.decisions.relief import (
-    CROWDED,
-    CROWDED_MULTIPLE,
-    LEAST_WEIGHT,
-    MOST_MEAN,
-    STEP,
-    Crowd,
-    relieved,
+from wardstair.decisions.ranking import WeightedUpstream, rank
+from wardstair.decisions.rebalancing import (
+    MAX_MEAN_UTILIZATION,
+    MIN_WEIGHT,
+    OVERLOADED,
+    OVERLOADED_MULTIPLE,
+    WEIGHT_STEP,
+    UpstreamUtilization,
+    rebalanced_weights,
 )
 
 WANTED = Kept(most=0.7, fullness=1.0)
@@ -97,18 +97,18 @@
 
 def test_keys_fall_on_a_region_as_the_factor_says() -> None:
     factor = near_factor(UNEQUAL, '2', WANTED)
-    places = [Place(f'near {one}', 5 * factor) for one in range(10)]
-    places += [Place(f'far {one}', 5) for one in range(10)]
+    places = [WeightedUpstream(f'near {one}', 5 * factor) for one in range(10)]
+    places += [WeightedUpstream(f'far {one}', 5) for one in range(10)]
     homes = Counter(
         rank(f'key {number}', places)[0].split()[0] for number in range(4000)
     )
     assert homes['near'] / 4000 == pytest.approx(WANTED.most, abs=0.03)
 
 
-def crowds(*given_ones: tuple[float, float]) -> list[Crowd]:
+def crowds(*given_ones: tuple[float, float]) -> list[UpstreamUtilization]:
     """Return upstreams with these crowdings and weights."""
     return [
-        Crowd(f'u{number}', weight, crowding)
+        UpstreamUtilization(f'u{number}', weight, crowding)
         for number, (crowding, weight) in enumerate(given_ones)
     ]
 
@@ -118,15 +118,15 @@
     [
         ([], {}),
         # One far above the others sheds a step of its keys.
-        ([(2.0, 1.0), (0.4, 1.0), (0.4, 1.0)], {'u0': 1 - STEP}),
+        ([(2.0, 1.0), (0.4, 1.0), (0.4, 1.0)], {'u0': 1 - WEIGHT_STEP}),
         # Above the others, but with slots to spare.
-        ([(CROWDED - 0.1, 1.0), (0.1, 1.0)], {}),
+        ([(OVERLOADED - 0.1, 1.0), (0.1, 1.0)], {}),
         # The service is full as a whole, or most keys run first.
         ([(2.0, 1.0), (1.9, 1.0), (2.1, 1.0)], {}),
-        ([(9.0, 1.0), (MOST_MEAN, 1.0), (0.1, 1.0)], {}),
+        ([(9.0, 1.0), (MAX_MEAN_UTILIZATION, 1.0), (0.1, 1.0)], {}),
         # Never below the least, and back when it is emptier than the mean.
-        ([(9.0, LEAST_WEIGHT), (0.1, 1.0)], {}),
-        ([(0.2, 0.5), (0.6, 1.0)], {'u0': 0.5 / (1 - STEP)}),
+        ([(9.0, MIN_WEIGHT), (0.1, 1.0)], {}),
+        ([(0.2, 0.5), (0.6, 1.0)], {'u0': 0.5 / (1 - WEIGHT_STEP)}),
         ([(0.2, 0.95), (0.6, 1.0)], {'u0': 1.0}),
         # As full as the others: it keeps what it has.
         ([(0.5, 0.5), (0.6, 1.0)], {}),
@@ -136,12 +136,12 @@
     given_ones: list[tuple[float, float]],
     changed: dict[str, float],
 ) -> None:
-    assert relieved(crowds(*given_ones)) == pytest.approx(changed)
+    assert rebalanced_weights(crowds(*given_ones)) == pytest.approx(changed)
 
 
 def test_a_step_moves_few_keys_and_only_from_the_crowded_one() -> None:
-    before = [Place(f'u{one}', 1.0) for one in range(12)]
-    after = [Place('u0', 1 - STEP), *before[1:]]
+    before = [WeightedUpstream(f'u{one}', 1.0) for one in range(12)]
+    after = [WeightedUpstream('u0', 1 - WEIGHT_STEP), *before[1:]]
     keys = [f'key {number}' for number in range(6000)]
     moved = [
         (rank(key, before)[0], rank(key, after)[0])
@@ -149,17 +149,21 @@
         if rank(key, before)[0] != rank(key, after)[0]
     ]
     assert {old for old, _ in moved} == {'u0'}
-    assert len(moved) < 6000 / 12 * STEP * 1.5
+    assert len(moved) < 6000 / 12 * WEIGHT_STEP * 1.5
 
 
-@given(st.lists(st.tuples(st.floats(0, 9), st.floats(LEAST_WEIGHT, 1))))
+@given(st.lists(st.tuples(st.floats(0, 9), st.floats(MIN_WEIGHT, 1))))
 def test_weights_stay_in_their_bounds(
     given_ones: list[tuple[float, float]],
 ) -> None:
     given_crowds = crowds(*given_ones)
-    mean = sum(one.crowding for one in given_crowds) / (len(given_crowds) or 1)
-    for name, weight in relieved(given_crowds).items():
-        assert LEAST_WEIGHT <= weight <= 1
+    mean = sum(one.utilization for one in given_crowds) / (
+        len(given_crowds) or 1
+    )
+    for name, weight in rebalanced_weights(given_crowds).items():
+        assert MIN_WEIGHT <= weight <= 1
         (crowd,) = (one for one in given_crowds if one.name == name)
         sheds = weight < crowd.weight
-        assert sheds == (crowd.crowding > max(CROWDED, mean * CROWDED_MULTIPLE))
+        assert sheds == (
+            crowd.utilization > max(OVERLOADED, mean * OVERLOADED_MULTIPLE)
+        )
--- a/tests/unit/test_notices.py
+++ b/tests/unit/test_notices.py
@@ -8,12 +8,12 @@
 from lib.upstreams import ENTRY, Clock
 
 from wardstair.decisions.notices import (
+    Availability,
     Notice,
-    Standing,
-    return_after,
+    accepting_upstreams,
+    availability_of,
+    retry_after_seconds,
     shortest_pause,
-    standing_of,
-    willing,
 )
 from wardstair.platform.headers import decode_upstream
 from wardstair.state.notices import (
@@ -88,38 +88,38 @@
 @pytest.mark.parametrize(
     ('leaving_since', 'paused_until', 'standing'),
     [
-        (None, 0.0, Standing.open),
-        (None, 10.1, Standing.paused),
-        (None, 10.0, Standing.open),
-        (9.0, 0.0, Standing.leaving),
-        (9.0, 11.0, Standing.paused),
-        (8.0, 0.0, Standing.closed),
-        (8.0, 99.0, Standing.closed),
+        (None, 0.0, Availability.open),
+        (None, 10.1, Availability.paused),
+        (None, 10.0, Availability.open),
+        (9.0, 0.0, Availability.leaving),
+        (9.0, 11.0, Availability.paused),
+        (8.0, 0.0, Availability.closed),
+        (8.0, 99.0, Availability.closed),
     ],
 )
 def test_what_an_upstream_takes_follows_what_it_has_said(
     leaving_since: float | None,
     paused_until: float,
-    standing: Standing,
+    standing: Availability,
 ) -> None:
     notice = Notice(leaving_since, paused_until)
-    assert standing_of(notice, 10.0, DRAIN_SECONDS) is standing
+    assert availability_of(notice, 10.0, DRAIN_SECONDS) is standing
 
 
 @pytest.mark.parametrize(
     ('standings', 'chosen'),
     [
-        ([Standing.open, Standing.leaving, Standing.open], [0, 2]),
-        ([Standing.paused, Standing.leaving, Standing.closed], [1]),
-        ([Standing.paused, Standing.closed], []),
+        ([Availability.open, Availability.leaving, Availability.open], [0, 2]),
+        ([Availability.paused, Availability.leaving, Availability.closed], [1]),
+        ([Availability.paused, Availability.closed], []),
         ([], []),
     ],
 )
 def test_leaving_upstreams_are_kept_for_a_service_without_others(
-    standings: list[Standing],
+    standings: list[Availability],
     chosen: list[int],
 ) -> None:
-    assert willing(list(enumerate(standings))) == chosen
+    assert accepting_upstreams(list(enumerate(standings))) == chosen
 
 
 @pytest.mark.parametrize(
@@ -176,7 +176,7 @@
     work: float,
     pause: float,
 ) -> None:
-    spread = played(rate, slots, work, pause, return_after)
+    spread = played(rate, slots, work, pause, retry_after_seconds)
     same = played(rate, slots, work, pause, at_the_end)
     assert spread.all == same.all
     assert spread.lost < same.lost
@@ -186,21 +186,25 @@
 @pytest.mark.parametrize(
     ('pauses', 'at', 'standing'),
     [
-        pytest.param([(0.0, 3.0)], 2.9, Standing.paused, id='within'),
-        pytest.param([(0.0, 3.0)], 3.0, Standing.open, id='over'),
-        pytest.param([(0.0, 3.0), (0.5, 1.0)], 2.9, Standing.paused, id='less'),
-        pytest.param([(0.0, 3.0), (2.0, 3.0)], 4.9, Standing.paused, id='more'),
-        pytest.param([(0.0, 0.0)], 0.0, Standing.open, id='none'),
+        pytest.param([(0.0, 3.0)], 2.9, Availability.paused, id='within'),
+        pytest.param([(0.0, 3.0)], 3.0, Availability.open, id='over'),
+        pytest.param(
+            [(0.0, 3.0), (0.5, 1.0)], 2.9, Availability.paused, id='less'
+        ),
+        pytest.param(
+            [(0.0, 3.0), (2.0, 3.0)], 4.9, Availability.paused, id='more'
+        ),
+        pytest.param([(0.0, 0.0)], 0.0, Availability.open, id='none'),
         pytest.param(
             [(0.0, float('inf'))],
             MOST_PAUSE_SECONDS - 1,
-            Standing.paused,
+            Availability.paused,
             id='huge',
         ),
         pytest.param(
             [(0.0, float('inf'))],
             MOST_PAUSE_SECONDS,
-            Standing.open,
+            Availability.open,
             id='bounded',
         ),
     ],
@@ -208,7 +212,7 @@
 def test_a_pause_lasts_as_long_as_the_longest_that_was_asked_for(
     pauses: list[tuple[float, float]],
     at: float,
-    standing: Standing,
+    standing: Availability,
 ) -> None:
     clock = Clock()
     began = clock.now
@@ -230,8 +234,8 @@
     table.note_pause(upstream_of(), 1)
     assert table.notice_of(upstream_of()).leaving_since == first
     clock.now += 2
-    assert table.standing(upstream_of()) is Standing.closed
-    assert table.standing(upstream_of(born=2)) is Standing.open
+    assert table.standing(upstream_of()) is Availability.closed
+    assert table.standing(upstream_of(born=2)) is Availability.open
 
 
 def test_a_late_answer_of_an_earlier_life_says_nothing_of_the_next() -> None:
@@ -249,7 +253,7 @@
     table.note_pause(upstream_of(), 3)
     clock.now += 2
     table.forget(())
-    assert table.standing(upstream_of()) is Standing.paused
+    assert table.standing(upstream_of()) is Availability.paused
     clock.now += 1
     table.forget([ENTRY.name])
     assert table.is_idle
@@ -261,9 +265,9 @@
     table.note_leaving(upstream_of())
     clock.now += REMEMBERED_SECONDS - 1
     table.forget(())
-    assert table.standing(upstream_of()) is Standing.closed
+    assert table.standing(upstream_of()) is Availability.closed
     clock.now += 2
     table.forget([ENTRY.name])
-    assert table.standing(upstream_of()) is Standing.closed
+    assert table.standing(upstream_of()) is Availability.closed
     table.forget(())
     assert table.is_idle
--- a/tests/unit/test_once.py
+++ b/tests/unit/test_once.py
@@ -7,18 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from wardstair.decisions.attempts import (
-    Abandoned,
-    Answered,
-    AttemptOutcome,
-    Broken,
-    DeclaredNotRun,
-    Foreign,
-    NeverSent,
-    may_have_run,
-    retry_reason,
-)
-from wardstair.decisions.once import (
+from wardstair.decisions.at_most_once import (
     KEPT_ANSWER_BYTES,
     KEY_VALID_SECONDS,
     RETENTION_SECONDS,
@@ -34,6 +23,17 @@
     UnknownOutcome,
     parse_key,
 )
+from wardstair.decisions.attempts import (
+    Abandoned,
+    Answered,
+    AttemptOutcome,
+    Broken,
+    DeclaredNotRun,
+    Foreign,
+    NeverSent,
+    may_have_run,
+    retry_reason,
+)
 from wardstair.decisions.retries import (
     FailedAttempt,
     RetryBudget,
@@ -127,7 +127,7 @@
             answer = KeptAnswer(200, (), b'x' * size)
             self.table.finish(key, answer, self.now)
         elif may_have_run(seen):
-            self.table.lose(key, self.now)
+            self.table.mark_unknown(key, self.now)
         else:
             self.table.release(key)
             assert self.ran[key] == 0
@@ -183,7 +183,7 @@
 def test_a_full_table_refuses_and_forgets_nothing() -> None:
     table = KeyTable(capacity=1)
     table.admit('a', 'f', 0, 0)
-    table.lose('a', 0)
+    table.mark_unknown('a', 0)
     assert isinstance(table.admit('b', 'f', 0, 1), TableFull)
     assert isinstance(table.admit('a', 'f', 0, 1), UnknownOutcome)
     later = RETENTION_SECONDS + 1
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -10,16 +10,16 @@
 
 from wardstair.decisions.placement import (
     Candidate,
-    choose_place,
+    choose_by_cost,
     expected_seconds,
 )
 from wardstair.decisions.placement_policies import (
     POLICIES,
-    PlacementAsk,
-    choose_by,
+    PlacementRequest,
+    choose_by_policy,
 )
-from wardstair.decisions.ranking import Place, rank
-from wardstair.decisions.warmth import KEPT_SECONDS, MOST_KEYS, WarmKeys
+from wardstair.decisions.ranking import WeightedUpstream, rank
+from wardstair.decisions.warm_keys import KEPT_SECONDS, MAX_KEYS, WarmKeys
 
 HOME = Candidate('home', 0, 0.0, 0, 4)
 NEXT = Candidate('next', 1, 0.0, 0, 4)
@@ -56,7 +56,7 @@
     chosen: str | None,
 ) -> None:
     candidates = [replace(HOME, **home), replace(NEXT, **other)]
-    choice = choose_place(candidates, WORK, 3.0)
+    choice = choose_by_cost(candidates, WORK, 3.0)
     assert (choice and choice.candidate.name) == chosen
 
 
@@ -89,7 +89,7 @@
     work: float,
     queue_share: float,
 ) -> None:
-    choice = choose_place(given_ones, work, queue_share)
+    choice = choose_by_cost(given_ones, work, queue_share)
     able = [one for one in given_ones if has_room(one, queue_share)]
     if choice is None:
         assert not able
@@ -117,7 +117,7 @@
 def test_only_the_keys_of_one_that_leaves_move(
     names: list[str], key: str
 ) -> None:
-    places = [Place(name, 3) for name in names]
+    places = [WeightedUpstream(name, 3) for name in names]
     before = rank(key, places)
     gone = Random(len(names)).choice(names)
     after = rank(key, [place for place in places if place.name != gone])
@@ -125,7 +125,11 @@
 
 
 def test_keys_fall_on_places_by_weight() -> None:
-    places = [Place('small', 1), Place('large', 3), Place('none', 0)]
+    places = [
+        WeightedUpstream('small', 1),
+        WeightedUpstream('large', 3),
+        WeightedUpstream('none', 0),
+    ]
     homes = [rank(f'key {number}', places)[0] for number in range(4000)]
     assert 2800 < homes.count('large') < 3200
     assert homes.count('none') == 0
@@ -136,7 +140,7 @@
     warm.note('old', 0)
     assert warm.has('old', KEPT_SECONDS / 2)
     assert not warm.has('old', KEPT_SECONDS)
-    for number in range(MOST_KEYS):
+    for number in range(MAX_KEYS):
         warm.note(f'key {number}', 1)
     assert not warm.has('old', 1)
     assert warm.has('key 0', 1)
@@ -166,6 +170,6 @@
         Candidate(f'u{rank}', rank, 0.0, load, 4, is_warm=not rank)
         for rank, load in enumerate(loads)
     ]
-    ask = PlacementAsk(WORK, 2.0, draw)
-    choice = choose_by(POLICIES[name], given_ones, ask)
+    ask = PlacementRequest(WORK, 2.0, draw)
+    choice = choose_by_policy(POLICIES[name], given_ones, ask)
     assert (choice and choice.candidate.name) == chosen
--- a/tests/unit/test_ranked_homes.py
+++ b/tests/unit/test_ranked_homes.py
@@ -10,7 +10,7 @@
 from lib.upstreams import ENTRY, Clock
 
 from wardstair.decisions.mechanisms import Mechanism
-from wardstair.decisions.relief import STEP, STEP_SECONDS
+from wardstair.decisions.rebalancing import WEIGHT_STEP, WEIGHT_STEP_SECONDS
 from wardstair.gateway.homes import KEPT, Haul, Homes, KeyAsk
 from wardstair.gateway.settings import LiveSettings
 from wardstair.state.belief import Belief
@@ -52,7 +52,7 @@
     def tell(self, load_of: Callable[[str], int], seconds: int) -> None:
         """Let all upstreams tell their load for some seconds."""
         for _ in range(seconds):
-            self.clock.now += STEP_SECONDS
+            self.clock.now += WEIGHT_STEP_SECONDS
             for upstream in self.belief.catalog.upstreams.values():
                 upstream.note_load(load_of(upstream.name), self.clock.now)
             self.homes.step(self.clock.now)
@@ -80,7 +80,7 @@
 
 
 def test_a_region_keeps_more_of_its_keys_with_near_homes() -> None:
-    plain = Fleet(Mechanism.near_homes).kept()
+    plain = Fleet(Mechanism.near_preferred).kept()
     assert plain < KEPT.most - 0.05
     assert Fleet().kept() == pytest.approx(KEPT.most, abs=0.05)
 
@@ -94,9 +94,9 @@
 
 @pytest.mark.parametrize('is_on', [True, False])
 def test_keys_move_only_off_the_crowded_upstream(is_on: bool) -> None:
-    switched_off = [Mechanism.near_homes]
+    switched_off = [Mechanism.near_preferred]
     if not is_on:
-        switched_off.append(Mechanism.relief)
+        switched_off.append(Mechanism.rebalancing)
     fleet = Fleet(*switched_off)
     before = [fleet.ranked(key)[0] for key in KEYS]
     fleet.tell(lambda name: 12 if name == 'i-0' else 1, seconds=3)
@@ -104,7 +104,7 @@
     moved = {old for old, new in zip(before, after, strict=True) if old != new}
     assert moved == ({'i-0'} if is_on else set())
     weight = fleet.belief.catalog.upstreams['i-0'].relief
-    assert (weight < 1 - STEP) is is_on
+    assert (weight < 1 - WEIGHT_STEP) is is_on
 
 
 def test_only_allowed_regions_are_ranked() -> None:
@@ -117,7 +117,7 @@
 
 def test_large_bodies_rank_as_with_the_mechanism_off() -> None:
     on = Fleet()
-    off = Fleet(Mechanism.near_homes)
+    off = Fleet(Mechanism.near_preferred)
     for key in KEYS[:50]:
         assert on.ranked(key, Haul.large) == off.ranked(key, Haul.large)
 
@@ -125,9 +125,9 @@
 def test_a_change_of_the_settings_takes_hold_at_once() -> None:
     fleet = Fleet()
     near = [fleet.ranked(key) for key in KEYS]
-    off = frozenset((Mechanism.near_homes,))
+    off = frozenset((Mechanism.near_preferred,))
     fleet.live.current = replace(fleet.live.current, switched_off=off)
-    plain = Fleet(Mechanism.near_homes)
+    plain = Fleet(Mechanism.near_preferred)
     assert [fleet.ranked(key) for key in KEYS] != near
     assert fleet.kept() == plain.kept()
 
@@ -140,7 +140,7 @@
 
 def test_relief_evens_out_what_hashing_gives_by_chance() -> None:
     """The figure before and after; 16 keys would be the mean of twelve."""
-    fleet = Fleet(Mechanism.near_homes)
+    fleet = Fleet(Mechanism.near_preferred)
     before = fullest(fleet)
     for _ in range(40):
         homes = Counter(fleet.ranked(key)[0] for key in KEYS[:192])
--- a/tests/unit/test_reach.py
+++ b/tests/unit/test_reach.py
@@ -5,11 +5,11 @@
 import pytest
 from lib.revisions import at
 
-from wardstair.decisions.reach import (
+from wardstair.decisions.reachability import (
     ALL,
-    OpeningReach,
-    SilenceWatch,
-    reach_times,
+    NewConnectionReachability,
+    SilenceDetector,
+    probe_times,
     service_group,
     zone_group,
 )
@@ -52,7 +52,7 @@
         entries = [entry_of(name, *place) for name, place in PLACES.items()]
         self.catalog.replace_all(entries, at(1), store_was_away=False)
         self.reach = ReachTable(self.catalog)
-        self.reach.times = lambda: reach_times(4.0)
+        self.reach.times = lambda: probe_times(4.0)
         self.reach.on_change = lambda: self.changes.append(self.reach.lost)
         self.reach.on_regained = self.regained.append
 
@@ -161,7 +161,7 @@
     overdue: int,
     is_unusual: bool,
 ) -> None:
-    watch = SilenceWatch(rate)
+    watch = SilenceDetector(rate)
     assert watch.is_unusual(silent, overdue) is is_unusual
 
 
@@ -186,7 +186,7 @@
 
 @pytest.mark.parametrize('contact', [0.5, 3.0, 4.0, 10.0])
 def test_a_cut_is_found_and_taken_back_within_the_bound(contact: float) -> None:
-    times = reach_times(contact)
+    times = probe_times(contact)
     # A silence seen late by half, three looks, three probes at once.
     found = times.silence * 1.5 + 3 * 0.02 + times.probe
     assert found <= max(contact / 2, 0.7)
@@ -239,7 +239,7 @@
     *,
     is_telling: bool,
 ) -> None:
-    opening = OpeningReach()
+    opening = NewConnectionReachability()
     told = []
     for now, step in enumerate(steps.split()):
         name = step[1:]
@@ -256,12 +256,12 @@
 
 
 def test_no_new_connection_is_used_while_they_are_doubted() -> None:
-    opening = OpeningReach()
+    opening = NewConnectionReachability()
     opening.note_failed('v0-north', GROUPS['v0-north'], 1.0)
     assert opening.may_open(GROUPS['o1-south'])
     opening.note_failed('o0-south', GROUPS['o0-south'], 1.0)
-    assert opening.begin_doubt()
-    assert not opening.begin_doubt()
+    assert opening.mark_suspect()
+    assert not opening.mark_suspect()
     assert not opening.may_open(GROUPS['o1-south'])
     opening.note_answered(GROUPS['o1-south'], 1.1)
     assert opening.is_sound
@@ -269,7 +269,7 @@
 
 
 def test_an_upstream_that_is_gone_closes_nothing() -> None:
-    opening = OpeningReach()
+    opening = NewConnectionReachability()
     for name in ('v0-north', 'o0-south', 'v1-south'):
         opening.note_failed(name, GROUPS[name], 1.0)
     left = {name: GROUPS[name] for name in GROUPS if name != 'v1-south'}
--- a/tests/unit/test_region_moves.py
+++ b/tests/unit/test_region_moves.py
@@ -16,8 +16,8 @@
 from lib.specs import configuration_spec, route_spec
 from lib.upstreams import ENTRY, Clock
 
-from wardstair.decisions.region_pace import WINDOW_SECONDS
-from wardstair.decisions.relief import STEP_SECONDS
+from wardstair.decisions.rebalancing import WEIGHT_STEP_SECONDS
+from wardstair.decisions.region_moves import WINDOW_SECONDS
 from wardstair.decisions.split import SplitTally
 from wardstair.gateway.homes import Haul, Homes, KeyAsk
 from wardstair.gateway.moving import RegionMoves
@@ -133,7 +133,7 @@
 def crowd(region: Region) -> None:
     """Let a fifth of the upstreams look crowded for two steps of relief."""
     for _ in range(2):
-        region.clock.now += STEP_SECONDS
+        region.clock.now += WEIGHT_STEP_SECONDS
         for n, one in enumerate(region.belief.catalog.upstreams.values()):
             load = one.entry.slots * (2 if n % 5 == 0 else 0.3)
             one.note_load(int(load), region.clock.now)
--- a/tests/unit/test_relays.py
+++ b/tests/unit/test_relays.py
@@ -12,7 +12,7 @@
 from lib.wire import Wire, zone_hosts
 
 from wardstair.decisions.relays import RelayCandidate, choose_relays
-from wardstair.decisions.timing import LEAST_REPLACED_SECONDS
+from wardstair.decisions.timing import MIN_RELAY_TIMEOUT_SECONDS
 from wardstair.fleet.beats import (
     Beat,
     BeatKind,
@@ -53,7 +53,7 @@
     for peer in others:
         members.hear(beat_of(peer))
     first = next(name for name in members.relays if name != 'a')
-    now[0] += LEAST_REPLACED_SECONDS - 0.1
+    now[0] += MIN_RELAY_TIMEOUT_SECONDS - 0.1
     for peer in others:
         if peer.name != first:
             members.hear(beat_of(peer, 2))
--- a/tests/unit/test_sentinels.py
+++ b/tests/unit/test_sentinels.py
@@ -56,7 +56,7 @@
 
 def test_silent_sentinels_are_replaced_in_time() -> None:
     fleet = follower()
-    fleet.now += 2 * TIMING.sentinel_beat
+    fleet.now += 2 * TIMING.sentinel_heartbeat
     assert fleet.rank is None
     fleet.now += TIMING.sentinel_silence
     assert fleet.rank is not None
--- a/tests/unit/test_shares.py
+++ b/tests/unit/test_shares.py
@@ -5,14 +5,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wardstair.decisions.outside import zone_part
+from wardstair.decisions.cross_region import zone_part
 from wardstair.decisions.shares import (
     Shares,
-    fit,
-    hand_over,
-    pass_on,
+    fit_to_capacity,
+    reassign_tokens,
     register,
     surplus,
+    transfer_tokens,
 )
 
 HOSTS = ['h1', 'h2', 'h3']
@@ -30,7 +30,7 @@
     shares = Shares()
     for version, sizes in enumerate(versions):
         before = shares
-        shares = fit(shares, sizes, HOSTS, version)
+        shares = fit_to_capacity(shares, sizes, HOSTS, version)
         for name, size in sizes.items():
             assert len(shares.owners[name]) >= size
         for name, kept in before.owners.items():
@@ -41,39 +41,39 @@
 @given(st.integers(1, 30), st.integers(1, 20))
 def test_tokens_are_spread_evenly(slots: int, hosts: int) -> None:
     names = [f'h{number}' for number in range(hosts)]
-    owners = fit(Shares(), {'u': slots}, names, 1).owners['u']
+    owners = fit_to_capacity(Shares(), {'u': slots}, names, 1).owners['u']
     counts = Counter(owners)
     assert max(counts.values()) - min(counts[name] for name in names) <= 1
 
 
 def test_odd_slots_alternate_between_hosts() -> None:
-    shares = fit(Shares(), {'u1': 3, 'u2': 3}, ['h1', 'h2'], 1)
+    shares = fit_to_capacity(Shares(), {'u1': 3, 'u2': 3}, ['h1', 'h2'], 1)
     total = Counter(owner for row in shares.owners.values() for owner in row)
     assert total == {'h1': 3, 'h2': 3}
 
 
 def test_an_older_version_changes_nothing() -> None:
-    shares = fit(Shares(), {'u': 9}, HOSTS, 5)
-    assert fit(shares, {'u': 3}, HOSTS, 4) == shares
+    shares = fit_to_capacity(Shares(), {'u': 9}, HOSTS, 5)
+    assert fit_to_capacity(shares, {'u': 3}, HOSTS, 4) == shares
 
 
 def test_only_the_proved_incarnation_loses_its_tokens() -> None:
-    shares = fit(Shares(), {'u': 4}, ['h1', 'h2'], 1)
+    shares = fit_to_capacity(Shares(), {'u': 4}, ['h1', 'h2'], 1)
     shares = register(register(shares, 'h1', '2'), 'h2', '1')
-    assert pass_on(shares, 'h1', '1', ['h2']) == shares
-    passed = pass_on(shares, 'h1', '2', ['h2'])
+    assert reassign_tokens(shares, 'h1', '1', ['h2']) == shares
+    passed = reassign_tokens(shares, 'h1', '2', ['h2'])
     assert set(passed.owners['u']) == {'h2'}
     assert 'h1' not in passed.incarnations
 
 
 def test_nobody_gives_what_another_owns() -> None:
-    shares = fit(Shares(), {'u': 4}, ['h1', 'h2'], 1)
+    shares = fit_to_capacity(Shares(), {'u': 4}, ['h1', 'h2'], 1)
     theirs = shares.owned_by('h2', 'u')
-    assert hand_over(shares, 'h1', 'h3', {'u': theirs}) == shares
+    assert transfer_tokens(shares, 'h1', 'h3', {'u': theirs}) == shares
 
 
 def test_a_new_host_is_offered_half_of_the_difference() -> None:
-    shares = fit(Shares(), {'u': 8}, ['h1'], 1)
+    shares = fit_to_capacity(Shares(), {'u': 8}, ['h1'], 1)
     assert surplus(shares, 'h1', ['h1', 'h2']) == ('h2', 4)
     assert surplus(shares, 'h1', ['h1']) == ('h1', 0)
 
--- a/tests/unit/test_slack.py
+++ b/tests/unit/test_slack.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wardstair.decisions.slack import MOST_SAMPLES, AnswerSlack
+from wardstair.decisions.adaptive_timeout import MAX_SAMPLES, AdaptiveTimeout
 
 
 @pytest.mark.parametrize(
@@ -13,11 +13,11 @@
         pytest.param([0.01, 0.4], 0.8, id='one slow answer'),
         pytest.param([3.0], 1.5, id='very slow'),
         pytest.param([-0.01], 0.25, id='earlier than asked'),
-        pytest.param([0.4, *[0.01] * MOST_SAMPLES], 0.25, id='quick again'),
+        pytest.param([0.4, *[0.01] * MAX_SAMPLES], 0.25, id='quick again'),
     ],
 )
 def test_slack_follows_the_answers(answers: list[float], slack: float) -> None:
-    followed = AnswerSlack()
+    followed = AdaptiveTimeout()
     for seconds in answers:
         followed.note(seconds)
-    assert followed.after(0.25, 1.5) == slack
+    assert followed.timeout(0.25, 1.5) == slack
--- a/tests/unit/test_state_age.py
+++ b/tests/unit/test_state_age.py
@@ -5,15 +5,15 @@
 import pytest
 
 from wardstair.decisions.state_age import (
-    MOST_HOPS,
+    MAX_HOPS,
     Reading,
-    ToldAge,
-    ask_after,
+    ReportedAge,
     complete_at,
-    may_ask,
+    may_query,
+    query_age,
     refresh_times,
 )
-from wardstair.decisions.timing import KEPT_SHARE, timing_for
+from wardstair.decisions.timing import MAX_BOUND_SHARE, timing_for
 from wardstair.state.age import StateAge
 from wardstair.state.revision import Revision
 
@@ -64,7 +64,7 @@
     assert age.told is None
     age.note_read('evacuations', Revision(1, 7), clock.now)
     age.note_read('servers', Revision(1, 7), clock.now)
-    assert age.told == ToldAge(0.0, 0)
+    assert age.told == ReportedAge(0.0, 0)
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
     clock.now += 10.0
     age.look(10.0)
     clock.now += unseen
-    age.note_told(ToldAge(0.5, 0))
+    age.note_told(ReportedAge(0.5, 0))
     assert age.seconds == pytest.approx(expected)
 
 
@@ -112,7 +112,7 @@
     clock.now += 10.0
     asked_at = clock.now
     clock.now += 1.8
-    age.note_told(ToldAge(0.5, 0), asked_at)
+    age.note_told(ReportedAge(0.5, 0), asked_at)
     assert age.seconds == pytest.approx(2.3)
 
 
@@ -128,13 +128,13 @@
             told = teller.told
             assert told is not None
             listener.note_told(replace(told, seconds=told.seconds - 0.08))
-    assert one.seconds == pytest.approx(10.0 - 0.08 * MOST_HOPS)
+    assert one.seconds == pytest.approx(10.0 - 0.08 * MAX_HOPS)
 
 
 def test_a_state_that_is_told_older_does_not_age_this_one() -> None:
     clock = Clock()
     age = known_age(clock)
-    age.note_told(ToldAge(60.0, 0))
+    age.note_told(ReportedAge(60.0, 0))
     assert age.seconds == 0.0
 
 
@@ -152,14 +152,14 @@
     since: float,
     expected: bool,
 ) -> None:
-    assert may_ask(asking, since, again=0.3) is expected
+    assert may_query(asking, since, retry_seconds=0.3) is expected
 
 
 @pytest.mark.parametrize('bound', [1.5, 2.5, 3.0, 4.0, 5.0])
-@pytest.mark.parametrize('tells_others', [True, False])
+@pytest.mark.parametrize('is_reporter', [True, False])
 def test_a_host_asks_in_time_and_not_on_calm_days(
     bound: float,
-    tells_others: bool,
+    is_reporter: bool,
 ) -> None:
     """Later than the clock of a sentinel, and twice within the bound."""
     timing = timing_for(bound, bound + 0.5)
@@ -167,9 +167,9 @@
         refresh_times(bound, f'host-{number}', timing.far_hedge)
         for number in range(200)
     ]
-    ages = [ask_after(one, tells_others=tells_others) for one in times]
+    ages = [query_age(one, is_reporter=is_reporter) for one in times]
     assert min(ages) > timing.watch
-    asked_twice = max(ages) + times[0].look + timing.far_hedge
-    assert asked_twice < bound * KEPT_SHARE
+    asked_twice = max(ages) + times[0].poll_interval + timing.far_hedge
+    assert asked_twice < bound * MAX_BOUND_SHARE
     # All grow old together where nobody tells: they ask spread over a while.
-    assert tells_others or len(set(ages)) > 190
+    assert is_reporter or len(set(ages)) > 190
--- a/tests/unit/test_steering.py
+++ b/tests/unit/test_steering.py
@@ -26,9 +26,9 @@
     PER_MILLE,
     STALE_SECONDS,
     Movement,
-    ShiftPace,
+    ShiftRamp,
     TargetView,
-    next_pace,
+    next_ramp,
 )
 
 POLICIES = st.one_of(
@@ -107,14 +107,14 @@
     ],
 )
 def test_pace(target: TargetView, movement: Movement, per_mille: int) -> None:
-    before = ShiftPace(per_mille=100, step=40, decided_at=0)
-    after = next_pace(before, target, 20, 15, 20)
+    before = ShiftRamp(per_mille=100, step=40, decided_at=0)
+    after = next_ramp(before, target, 20, 15, 20)
     assert (after.movement, after.per_mille) == (movement, per_mille)
 
 
 def test_a_pace_waits_until_the_last_one_shows() -> None:
-    before = ShiftPace(per_mille=100, decided_at=10)
-    assert next_pace(before, view(0), 20, 15, 24) == before
+    before = ShiftRamp(per_mille=100, decided_at=10)
+    assert next_ramp(before, view(0), 20, 15, 24) == before
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -134,15 +134,15 @@
     steps: list[tuple[int, int, float, float]],
     cap: int,
 ) -> None:
-    pace, now = ShiftPace(), 0.0
+    pace, now = ShiftRamp(), 0.0
     for in_flight, free, age, wait in steps:
         now += wait
         target = TargetView(in_flight, 100, free, age)
-        pace = next_pace(pace, target, cap, 15, now)
+        pace = next_ramp(pace, target, cap, 15, now)
         assert 0 <= pace.per_mille <= PER_MILLE
     for _ in range(11):
         now += 16
-        pace = next_pace(pace, view(0, age=99), cap, 15, now)
+        pace = next_ramp(pace, view(0, age=99), cap, 15, now)
     assert pace.per_mille == 0
 
 
--- a/tests/unit/test_suspicion_load.py
+++ b/tests/unit/test_suspicion_load.py
@@ -16,7 +16,7 @@
 
 from wardstair.decisions.ranking import unit_hash
 from wardstair.decisions.suspicion import (
-    SUSPECT_FROM,
+    SUSPECT_THRESHOLD,
     Evidence,
     held_requests,
     merge,
@@ -130,7 +130,7 @@
             known = 0
         elif HARMFUL in held_requests(self.records):
             return
-        for _ in range(1 if known >= SUSPECT_FROM else 2):
+        for _ in range(1 if known >= SUSPECT_THRESHOLD else 2):
             place = self.place(HARMFUL)
             if place is not None:
                 self.end(place)
@@ -210,12 +210,12 @@
 
 def test_few_of_those_beside_it_are_suspected(loads: list[Load]) -> None:
     counts = Counter(
-        min(len(one.ended), SUSPECT_FROM)
+        min(len(one.ended), SUSPECT_THRESHOLD)
         for load in loads
         for name, one in load.records.items()
         if name != HARMFUL
     )
-    assert counts[SUSPECT_FROM] < counts[1] / 5
+    assert counts[SUSPECT_THRESHOLD] < counts[1] / 5
 
 
 @pytest.mark.parametrize('seed', range(3))
--- a/tests/unit/test_timing.py
+++ b/tests/unit/test_timing.py
@@ -3,7 +3,11 @@
 import pytest
 from lib.rig import gateway_settings
 
-from wardstair.decisions.timing import KEPT_SHARE, chains_for, timing_for
+from wardstair.decisions.timing import (
+    MAX_BOUND_SHARE,
+    propagation_paths,
+    timing_for,
+)
 from wardstair.fleet.members import SILENT_SECONDS
 from wardstair.fleet.radio import BEAT_SECONDS, JITTER
 from wardstair.gateway.settings import Bounds
@@ -15,14 +19,14 @@
 BOUNDS = (1.5, 2.0, 2.5, 3.0, 4.0, 5.0)
 
 
-@pytest.mark.parametrize('failure', list(chains_for(2.5)))
+@pytest.mark.parametrize('failure', list(propagation_paths(2.5)))
 @pytest.mark.parametrize('news', BOUNDS)
 def test_news_is_known_in_time_though_a_link_fails(
     news: float,
     failure: str,
 ) -> None:
-    taken = sum(link.seconds for link in chains_for(news)[failure])
-    assert taken <= news * KEPT_SHARE + 1e-9
+    taken = sum(link.seconds for link in propagation_paths(news)[failure])
+    assert taken <= news * MAX_BOUND_SHARE + 1e-9
 
 
 @pytest.mark.parametrize('news', BOUNDS)
@@ -30,14 +34,14 @@
     timing = timing_for(news, 4.0)
     links = {
         link.name: link.seconds
-        for links in chains_for(news).values()
+        for links in propagation_paths(news).values()
         for link in links
     }
     assert links['clock waits'] == timing.watch
-    assert links['clock is late'] == timing.slack
-    assert links['changes are joined'] == timing.pause
-    assert links['it is lost once'] == timing.repeat
-    assert links['look at roles'] == timing.role_look
+    assert links['clock is late'] == timing.watch_tolerance
+    assert links['changes are joined'] == timing.coalescing_delay
+    assert links['it is lost once'] == timing.repeat_delay
+    assert links['look at roles'] == timing.role_poll_interval
     assert links['sentinels are silent'] == timing.sentinel_silence
 
 
@@ -63,7 +67,7 @@
 @pytest.mark.parametrize('news', BOUNDS)
 def test_one_lost_heartbeat_replaces_no_sentinel(news: float) -> None:
     timing = timing_for(news, 4.0)
-    assert 2 * timing.sentinel_beat < timing.sentinel_silence
+    assert 2 * timing.sentinel_heartbeat < timing.sentinel_silence
 
 
 @pytest.mark.parametrize('news', [2.0, 2.5, 3.0, 4.0, 6.0, 60.0])
@@ -71,23 +75,27 @@
     news: float,
 ) -> None:
     timing = timing_for(news, 4.0)
-    missed = timing.watch + LAG_SECONDS + timing.pause + SPREAD_SECONDS
+    missed = (
+        timing.watch + LAG_SECONDS + timing.coalescing_delay + SPREAD_SECONDS
+    )
     assert missed < news
     lost_heartbeat = BEAT_SECONDS * (1 + JITTER)
-    assert timing.pause + SPREAD_SECONDS + lost_heartbeat < max(news, 2.5)
-    assert timing.replaced <= max(news, lost_heartbeat * 1.5)
+    assert timing.coalescing_delay + SPREAD_SECONDS + lost_heartbeat < max(
+        news, 2.5
+    )
+    assert timing.relay_timeout <= max(news, lost_heartbeat * 1.5)
 
 
 @pytest.mark.parametrize('contact', [1.0, 3.0, 4.0, 8.0, 60.0])
 def test_contact_is_proved_before_it_counts(contact: float) -> None:
     timing = timing_for(2.5, contact)
-    assert 2 * timing.proof <= contact
-    assert timing.rare_proof > timing.proof
+    assert 2 * timing.contact_check_interval <= contact
+    assert timing.rare_contact_check_interval > timing.contact_check_interval
 
 
 @pytest.mark.parametrize('news', [0.5, 2.5, 60.0])
 def test_one_lost_heartbeat_replaces_nobody(news: float) -> None:
-    replaced = timing_for(news, 4.0).replaced
+    replaced = timing_for(news, 4.0).relay_timeout
     assert BEAT_SECONDS * (1 + JITTER) < replaced < SILENT_SECONDS
 
 
