--- a/src/wardstair/decisions/adaptive_timeout.py
+++ b/src/wardstair/decisions/adaptive_timeout.py
@@ -1,20 +1,20 @@
-"""How late an answer may be before its connection is doubted."""
+"""Timeout that adapts to the recent answer times of a server."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
-# Answers by which the next are judged.
+# Number of recent answers that determine the timeout.
 MAX_SAMPLES = 8
-# An answer that takes longer than the slowest of them times this is late.
+# Multiple of the slowest recent answer time after which an answer is late.
 SPREAD_FACTOR = 2.0
 
 
 @dataclass(slots=True)
 class AdaptiveTimeout:
-    """Follows how long a server takes to answer.
+    """Derives a timeout from recent answer times.
 
-    It answers the load that a slow server is under: a fixed slack would take
-    each of its answers for lost, and ask it again.
+    With a fixed timeout, every answer of an overloaded server would count as
+    lost and be requested again, which adds to its load.
     """
 
     _samples: deque[float] = field(
@@ -22,10 +22,10 @@
     )
 
     def note(self, seconds: float) -> None:
-        """Note how long an answer took, beside the wait that was asked for.
+        """Record the time of an answer, excluding the requested wait.
 
         Args:
-            seconds: The time; negative ones count as none.
+            seconds: The answer time in seconds; negative values count as 0.
         """
         self._samples.append(max(0.0, seconds))
 
@@ -33,8 +33,8 @@
         """Return the time after which an answer is late.
 
         Args:
-            least: The shortest time, in seconds.
-            most: The longest.
+            least: Lower bound in seconds.
+            most: Upper bound in seconds.
         """
         slowest = max(self._samples, default=0.0)
         return min(max(least, slowest * SPREAD_FACTOR), most)
--- a/src/wardstair/decisions/at_most_once.py
+++ b/src/wardstair/decisions/at_most_once.py
@@ -1,7 +1,8 @@
 """Keys of requests that may run at most once.
 
-The table belongs to one incarnation of one entry host, the home of its keys.
-It never forgets a key before its time: a full table refuses new work.
+A key table belongs to one incarnation of one entry host, the owner of its keys.
+It keeps each key for the whole retention time: a full table refuses new keys
+rather than dropping old ones.
 """
 
 from collections import deque
@@ -16,7 +17,7 @@
 
 
 class RunState(StrEnum):
-    """How far the request of a key has come."""
+    """State of the request that a key belongs to."""
 
     running = 'running'
     finished = 'finished'
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True)
 class KeptAnswer:
-    """A small answer kept for a repeat of its request.
+    """A small answer that is kept for repetitions of its request.
 
     Attributes:
         status: HTTP status code.
@@ -40,13 +41,14 @@
 
 @dataclass
 class KeyRecord:
-    """What the home remembers of one key.
+    """What the owner of a key stores about it.
 
     Attributes:
-        fingerprint: Digest of method, target and body.
-        state: How far it has come.
-        forget_at: Time in seconds before which it is kept.
-        answer: The answer if it is finished and small enough.
+        fingerprint: Digest of the method, target and body.
+        state: State of the request.
+        forget_at: Time in seconds until which the record is kept.
+        answer: The answer, if the request has finished and the answer is small
+            enough.
     """
 
     fingerprint: str
@@ -57,12 +59,12 @@
 
 @dataclass(frozen=True)
 class Run:
-    """The key is new: the request may be attempted now."""
+    """The key is new; the request may be attempted now."""
 
 
 @dataclass(frozen=True)
 class Replay:
-    """The request has run: this is its answer."""
+    """The request has run; carries its answer."""
 
     answer: KeptAnswer
 
@@ -74,22 +76,22 @@
 
 @dataclass(frozen=True)
 class InProgress:
-    """The request runs now: wait for its end."""
+    """The request is running; the caller has to wait for its end."""
 
 
 @dataclass(frozen=True)
 class UnknownOutcome:
-    """An attempt was made and nobody knows whether it ran."""
+    """An attempt was made, and it is not known whether it ran."""
 
 
 @dataclass(frozen=True)
 class Mismatch:
-    """The key was used before for another request."""
+    """The key was used before for a different request."""
 
 
 @dataclass(frozen=True)
 class TableFull:
-    """No key can be added without forgetting one too early."""
+    """No key can be added without dropping one before its retention ends."""
 
     retry_after: float
 
@@ -107,12 +109,12 @@
 
 @dataclass
 class KeyTable:
-    """The bounded table of keys of one incarnation.
+    """The bounded key table of one incarnation of a host.
 
     Attributes:
-        capacity: Most keys that are kept.
-        retention: Seconds a key is kept after its last change.
-        records: The keys and what is known of them.
+        capacity: Maximum number of keys.
+        retention: Seconds for which a key is kept after its last change.
+        records: Records by key.
     """
 
     capacity: int
@@ -130,12 +132,12 @@
         """Decide what to do with a request that carries a key.
 
         Args:
-            key: The key, of this home and incarnation.
+            key: The key, owned by this host and incarnation.
             fingerprint: Digest of the request.
             issued_at: Time in seconds when the key was issued, by the
                 clock of the host that issued it.
-            now: Time in seconds by this home's clock, which never steps
-                back while the incarnation lives.
+            now: Time in seconds by the clock of this host, which never steps
+                back during an incarnation.
         """
         self._forget(now)
         record = self.records.get(key)
@@ -143,9 +145,9 @@
             return _judge(record, fingerprint)
         age = now - issued_at
         if not -CLOCK_SKEW_SECONDS <= age < KEY_VALID_SECONDS:
-            # A record outlives the validity of its key, skew included, so
-            # a key that is still valid and not here was never used. An
-            # older one may have been used and forgotten.
+            # A record is kept for longer than its key is valid, clock skew
+            # included, so a valid key without a record was never used. An
+            # expired key may have been used and its record dropped.
             return UnknownOutcome()
         if len(self.records) >= self.capacity:
             return TableFull(retry_after=self._next_expiry(now))
@@ -156,7 +158,7 @@
         return Run()
 
     def finish(self, key: str, answer: KeptAnswer, now: float) -> None:
-        """Note that the request ran and keep its answer if it is small."""
+        """Record that the request ran; keep its answer if it is small."""
         record = self.records[key]
         record.state = RunState.finished
         if len(answer.body) <= KEPT_ANSWER_BYTES:
@@ -164,19 +166,19 @@
         self._extend(key, record, now)
 
     def finish_without_answer(self, key: str, now: float) -> None:
-        """Note that the request ran and its answer was too large."""
+        """Record that the request ran and its answer was too large to keep."""
         record = self.records[key]
         record.state = RunState.finished
         self._extend(key, record, now)
 
     def mark_unknown(self, key: str, now: float) -> None:
-        """Note that an attempt was made and its outcome is not known."""
+        """Record that an attempt was made with an unknown outcome."""
         record = self.records[key]
         record.state = RunState.unknown
         self._extend(key, record, now)
 
     def release(self, key: str) -> None:
-        """Forget a key whose request provably did not run."""
+        """Remove a key whose request provably did not run."""
         self.records.pop(key, None)
 
     def _store(self, key: str, record: KeyRecord) -> None:
@@ -199,7 +201,8 @@
             if record is None or record.forget_at > now:
                 continue
             if record.state is RunState.running:
-                # A slow request outlives the retention: look again later.
+                # The request has run for longer than the retention time:
+                # check the record again after another retention time.
                 self._extend(key, record, now)
                 continue
             self.records.pop(key)
@@ -221,10 +224,10 @@
 
 @dataclass(frozen=True)
 class RequestKey:
-    """A key issued by a look-up: it names its home.
+    """A key issued by a look-up, which names its owner.
 
     Attributes:
-        owner: Name of the entry host that remembers the key.
+        owner: Name of the entry host that stores the key.
         incarnation: Incarnation of that host, as text.
         issued_at: Wall clock time of issue, in whole seconds.
         unique: Part that makes the key unique.
@@ -236,17 +239,17 @@
     unique: str
 
     def __str__(self) -> str:
-        """Return the form in which the key travels."""
+        """Return the key as it is sent to callers."""
         parts = (self.owner, self.incarnation, self.issued_at, self.unique)
         return _SEPARATOR.join(map(str, parts))
 
 
 def parse_key(text: str) -> RequestKey | None:
-    """Return the parts of an issued key, or None for any other text."""
+    """Parse an issued key; return None for any other text."""
     match text.split(_SEPARATOR):
-        case [home, incarnation, issued_at, unique] if (
-            home and incarnation and issued_at.isdecimal() and unique
+        case [owner, incarnation, issued_at, unique] if (
+            owner and incarnation and issued_at.isdecimal() and unique
         ):
-            return RequestKey(home, incarnation, int(issued_at), unique)
+            return RequestKey(owner, incarnation, int(issued_at), unique)
         case _:
             return None
--- a/src/wardstair/decisions/cross_region.py
+++ b/src/wardstair/decisions/cross_region.py
@@ -1,8 +1,9 @@
-"""What a region takes from outside: its headroom and the caps of shifts.
+"""Limits on traffic from other regions: headroom and the caps of shifts.
 
-Limits are kept where the traffic arrives. A zone of the receiving region has
-tokens for outside traffic of each workload, and its part of each shift's
-cap, so the sum over all hosts cannot pass the limit whatever senders believe.
+The limits are enforced where the traffic arrives. Each zone of the receiving
+region has tokens for cross-region traffic of each workload and its part of the
+cap of each shift, so the sum over all hosts stays within the limit even if
+senders act on outdated state.
 """
 
 from collections.abc import Sequence
@@ -13,11 +14,11 @@
 
 @dataclass(frozen=True)
 class Origin:
-    """Where a request comes from and what it wants.
+    """Region and workload of a request.
 
     Attributes:
         region: Region of the caller, or None if not known.
-        workload: Its workload.
+        workload: Name of the workload.
     """
 
     region: str | None
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True)
 class ActiveShift:
-    """A shift that brings traffic to this region."""
+    """A shift that directs traffic to this region."""
 
     name: str
     workload: str
@@ -38,8 +39,8 @@
     """Return a zone's part of a region's cap; the parts sum to the cap.
 
     Args:
-        cap: Requests in flight for the whole region.
-        zones: The region's zones in order of name.
+        cap: Maximum number of requests in flight for the whole region.
+        zones: The region's zones, sorted by name.
         zone: The zone.
     """
     index = list(zones).index(zone)
@@ -47,7 +48,7 @@
 
 
 def cross_region_tokens(slots: int, share: float) -> int:
-    """Return how many slots of a zone may serve traffic from outside."""
+    """Return how many slots of a zone may serve other regions' traffic."""
     return int(slots * share)
 
 
@@ -56,12 +57,12 @@
     own_region: str,
     shifts: Sequence[ActiveShift],
 ) -> tuple[str, ...]:
-    """Return the resources that a request needs a token of to be let in.
+    """Return the resources of which a request needs a token to be admitted.
 
     Args:
-        origin: Where it comes from.
+        origin: Origin of the request.
         own_region: Region of this host.
-        shifts: Shifts towards this region.
+        shifts: Shifts to this region.
     """
     if origin.region is None or origin.region == own_region:
         return ()
@@ -75,10 +76,10 @@
 
 
 def cross_region_resource(workload: str) -> str:
-    """Return the name of a workload's tokens for outside traffic."""
+    """Return the resource name of a workload's cross-region tokens."""
     return f'outside/{workload}'
 
 
 def shift_resource(shift: str) -> str:
-    """Return the name of the tokens of a shift's cap."""
+    """Return the resource name of the tokens of a shift's cap."""
     return f'shift/{shift}'
--- a/src/wardstair/decisions/mechanisms.py
+++ b/src/wardstair/decisions/mechanisms.py
@@ -1,23 +1,25 @@
 """Mechanisms of the request path that operators can switch off.
 
-A mechanism that is off leaves the plainer behaviour it was built on, so that
-its worth can be measured against live traffic: docs/ABLATION.md has the table.
+With a mechanism switched off, the simpler behaviour underneath applies, so that
+its effect can be measured on live traffic: docs/ABLATION.md has the table.
 """
 
 from enum import StrEnum
 
 
 class Mechanism(StrEnum):
-    """A mechanism, by its name in the settings."""
+    """A mechanism, identified by its name in the settings."""
 
-    # Homes of keys in the caller's region as far as its slots go; without it,
-    # near upstreams weigh more by fixed factors.
+    # Prefers upstreams in the caller's region in proportion to the slots there;
+    # without it, fixed factors increase the weights of near upstreams.
     near_preferred = 'near-homes'
-    # Keys move off an upstream that stays more crowded than the others.
+    # Moves keys off an upstream that stays more loaded than the others.
     rebalancing = 'relief'
-    # A silent upstream's request goes to a second one, if it may run again.
+    # Sends a request to a second upstream if the first one does not answer and
+    # the request is repeatable.
     hedging = 'hedging'
-    # Upstreams that are far slower than usual, or fail often, are left out.
+    # Excludes upstreams that are much slower than usual or fail often.
     ejection = 'ejection'
-    # An upstream that turns a request away is as full as it says, not full.
+    # Takes the load that an upstream reports when it rejects a request, rather
+    # than assuming that it is full.
     reported_rejections = 'told-rejections'
--- a/src/wardstair/decisions/membership.py
+++ b/src/wardstair/decisions/membership.py
@@ -1,8 +1,8 @@
-"""Who is in the fleet, from heartbeats of the zone and reports of others.
+"""Fleet membership, from heartbeats in a zone and reports of other zones.
 
-Inside a zone every host tells its heartbeat to the others, and passes on
-those it heard, so a broken link between two hosts does not make either look
-dead. Between zones, a few hosts exchange one report a zone.
+Inside a zone every host sends its heartbeat to the others and forwards those
+that it received, so a broken link between two hosts does not make either look
+dead. Between zones, a few hosts exchange one report for each zone.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 class HostState(StrEnum):
-    """How a host looks from here."""
+    """State of a host, as seen by this host."""
 
     live = 'live'
     suspect = 'suspect'
@@ -28,18 +28,19 @@
 
 @dataclass(frozen=True)
 class HostRow:
-    """What a host says of itself in a heartbeat.
+    """What a host reports about itself in a heartbeat.
 
     Attributes:
-        name: Its name.
+        name: Name of the host.
         incarnation: Its incarnation; later ones sort higher.
-        beat: Counts its heartbeats.
-        version: Version of the configuration it has in force.
+        beat: Sequence number of the heartbeat.
+        version: Version of the configuration that the host has in force.
         config_age: Seconds since that version was known to be the newest.
-        shares: Version of the zone's shares that it has adopted.
-        leaving: Whether it is leaving.
-        free: Requests it could start now, by workload in order.
-        moved: Requests in flight here by shifts to this region, in order.
+        shares: Version of the zone's shares that the host has adopted.
+        leaving: Whether the host is leaving.
+        free: Requests that the host could start now, by workload in order.
+        moved: Requests in flight on the host for each shift to its region, in
+            order.
     """
 
     name: str
@@ -60,12 +61,12 @@
 
 @dataclass(frozen=True)
 class UpstreamReport:
-    """What an upstream said when a host of the zone probed it.
+    """What an upstream reported when a host of the zone probed it.
 
     Attributes:
-        upstream: Its name.
-        load: Load it reports.
-        is_leaving: Whether it says that it is leaving.
+        upstream: Name of the upstream.
+        load: Load that it reported.
+        is_leaving: Whether it reported that it is leaving.
     """
 
     upstream: str
@@ -75,7 +76,7 @@
 
 @dataclass
 class Member:
-    """A host and when its last heartbeat came."""
+    """A host and the time at which its last heartbeat was received."""
 
     row: HostRow
     heard_at: float
@@ -83,16 +84,16 @@
 
 @dataclass
 class MemberTable:
-    """The hosts of one's own zone.
+    """The hosts of this host's zone.
 
     Attributes:
-        members: By name.
+        members: Hosts by name.
     """
 
     members: dict[str, Member] = field(default_factory=dict)
 
     def apply(self, row: HostRow, now: float) -> bool:
-        """Take in a heartbeat; return whether it was news."""
+        """Apply a heartbeat; return whether it was newer than the known one."""
         member = self.members.get(row.name)
         if member is not None and member.row.age_order >= row.age_order:
             return False
@@ -100,7 +101,7 @@
         return True
 
     def state_of(self, name: str, now: float) -> HostState:
-        """Return how a host looks from here."""
+        """Return the state of a host."""
         member = self.members.get(name)
         if member is None:
             return HostState.dead
@@ -112,7 +113,7 @@
         return HostState.live
 
     def in_state(self, now: float, *states: HostState) -> list[HostRow]:
-        """Return the rows of hosts in the given states, by name."""
+        """Return the rows of the hosts in the given states, sorted by name."""
         return [
             member.row
             for name, member in sorted(self.members.items())
@@ -120,7 +121,7 @@
         ]
 
     def freshest(self, most: int, now: float) -> list[HostRow]:
-        """Return the rows heard last, to be passed on."""
+        """Return the most recently received rows, to be forwarded."""
         live = [
             member
             for member in self.members.values()
@@ -130,9 +131,10 @@
         return [member.row for member in live[:most]]
 
     def forgive_pause(self, gap: float) -> None:
-        """Move all times on after a pause of this process.
+        """Advance all times by the length of a pause of this process.
 
-        What looks like the silence of all others was one's own.
+        During such a pause no heartbeat is processed, so all other hosts would
+        look silent.
         """
         for member in self.members.values():
             member.heard_at += gap
@@ -140,7 +142,7 @@
 
 @dataclass(frozen=True)
 class FarHost:
-    """A host of another zone as its zone reports it."""
+    """A host of another zone, as reported by that zone."""
 
     name: str
     incarnation: str
@@ -149,16 +151,17 @@
 
 @dataclass(frozen=True)
 class ZoneReport:
-    """What a zone tells the others about itself.
+    """What a zone reports about itself to the other zones.
 
     Attributes:
-        zone: Its name.
-        number: Grows with each report; wall clock milliseconds.
-        age: Seconds since it was made, summed over the way here.
+        zone: Name of the zone.
+        number: Increases with each report; wall clock time in milliseconds.
+        age: Seconds since the report was made, summed over the hosts that
+            forwarded it.
         version: Lowest version in force in the zone.
-        free: Requests the zone could start now, by workload in order.
+        free: Requests that the zone could start now, by workload in order.
         hosts_digest: Digest of the list of its hosts.
-        moved: Requests in flight there by shifts to its region, in order.
+        moved: Requests in flight there for each shift to its region, in order.
     """
 
     zone: str
@@ -178,13 +181,13 @@
 
 @dataclass
 class ZoneTable:
-    """The reports of all zones, and the host lists that they name."""
+    """The reports of all zones and the host lists that they refer to."""
 
     zones: dict[str, _KnownZone] = field(default_factory=dict)
     hosts: dict[bytes, tuple[FarHost, ...]] = field(default_factory=dict)
 
     def apply(self, report: ZoneReport, now: float) -> bool:
-        """Take in a report; return whether it was news."""
+        """Apply a report; return whether it was newer than the known one."""
         known = self.zones.get(report.zone)
         if known is not None and known.report.number >= report.number:
             return False
@@ -192,7 +195,7 @@
         return True
 
     def add_hosts(self, hosts: tuple[FarHost, ...]) -> None:
-        """Take in a list of hosts and drop lists that no zone names."""
+        """Add a list of hosts; drop the lists that no report refers to."""
         self.hosts[hosts_digest(hosts)] = hosts
         named = {known.report.hosts_digest for known in self.zones.values()}
         for digest in self.hosts.keys() - named:
@@ -200,7 +203,7 @@
                 self.hosts.pop(digest)
 
     def missing_hosts(self) -> list[bytes]:
-        """Return digests of host lists that are named but not here."""
+        """Return digests of host lists that are referred to but missing."""
         return [
             known.report.hosts_digest
             for known in self.zones.values()
@@ -213,20 +216,20 @@
         return float('inf') if known is None else now - known.heard_at
 
     def report_of(self, zone: str, now: float) -> ZoneReport | None:
-        """Return a zone's report unless it is too old to act on."""
+        """Return the report of a zone, or None if it is missing or stale."""
         if self.age_of(zone, now) > REPORT_STALE_SECONDS:
             return None
         return self.zones[zone].report
 
     def hosts_of(self, zone: str) -> tuple[FarHost, ...]:
-        """Return the hosts of a zone by its last report, however old."""
+        """Return the hosts in a zone's last report, regardless of its age."""
         known = self.zones.get(zone)
         if known is None:
             return ()
         return self.hosts.get(known.report.hosts_digest, ())
 
     def outgoing(self, now: float) -> list[ZoneReport]:
-        """Return all reports with their present ages."""
+        """Return the reports that are not stale, with their current ages."""
         return [
             replace(known.report, age=now - known.heard_at)
             for known in self.zones.values()
@@ -235,7 +238,7 @@
 
 
 def hosts_digest(hosts: Iterable[FarHost]) -> bytes:
-    """Return the digest that names a list of hosts."""
+    """Return the digest that identifies a list of hosts."""
     digest = blake2b(digest_size=8)
     for host in hosts:
         line = f'{host.name} {host.incarnation} {host.leaving}\n'
@@ -248,14 +251,15 @@
     purpose: str,
     count: int,
 ) -> list[str]:
-    """Choose hosts for a purpose, the same on every host that asks.
+    """Choose hosts for a purpose, with the same result on every host.
 
-    Highest random weight: when a host leaves, only its own place changes.
+    Uses rendezvous hashing (highest random weight): when a host leaves, only
+    its own place is reassigned.
 
     Args:
         names: Hosts to choose from.
-        purpose: What they are chosen for.
-        count: How many.
+        purpose: What the hosts are chosen for; part of the hash input.
+        count: Number of hosts to choose.
     """
     ranked = sorted(
         names,
--- a/src/wardstair/decisions/notices.py
+++ b/src/wardstair/decisions/notices.py
@@ -1,27 +1,27 @@
-"""What an upstream takes from a host, by what its answers have said."""
+"""Availability of upstreams, from the notices in their answers."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from enum import StrEnum
 from typing import TypeVar
 
-# Part of the drain time, from the answer that first said so, in which an
-# upstream that leaves gets requests that no other upstream takes.
+# Share of the drain time, from the first answer with a leaving notice, during
+# which a leaving upstream still gets requests that no other upstream accepts.
 LAST_RESORT_SHARE = 0.5
-# Part of the time left of a pause that is added to what callers are told.
+# Share of the remaining pause that is added to the retry time sent to callers.
 RETURN_SPREAD = 0.25
 
 _One = TypeVar('_One')
 
 
 class Availability(StrEnum):
-    """What an upstream takes from a host.
+    """Which requests a host may send to an upstream.
 
     Attributes:
-        open: Anything.
-        paused: Nothing for a time that it has named.
-        leaving: What no other upstream takes: it will end soon.
-        closed: Nothing more in this life.
+        open: All requests.
+        paused: No requests until the end of a pause that it asked for.
+        leaving: Requests that no other upstream accepts; it will exit soon.
+        closed: No more requests for this incarnation.
     """
 
     open = 'open'
@@ -32,12 +32,12 @@
 
 @dataclass(slots=True)
 class Notice:
-    """What one life of an upstream has said in its answers to a host.
+    """Notices that one incarnation of an upstream has sent in its answers.
 
     Attributes:
-        leaving_since: Monotonic time at which an answer first said that it
-            leaves; None if none did.
-        paused_until: Monotonic time until which it wants no request.
+        leaving_since: Monotonic time of the first answer that announced that
+            it leaves; None if there was none.
+        paused_until: Monotonic time until which it accepts no requests.
     """
 
     leaving_since: float | None = None
@@ -47,13 +47,13 @@
 def availability_of(
     notice: Notice, now: float, drain_seconds: float
 ) -> Availability:
-    """Return what an upstream takes from a host.
+    """Return the availability of an upstream.
 
     Args:
-        notice: What it has said to the host.
+        notice: Its notices to this host.
         now: Monotonic time in seconds.
-        drain_seconds: Time after which an upstream that leaves must not get
-            any more.
+        drain_seconds: Time after the leaving notice from which the upstream
+            must not get any more requests.
     """
     since = notice.leaving_since
     if since is not None and now >= since + drain_seconds * LAST_RESORT_SHARE:
@@ -66,12 +66,12 @@
 def accepting_upstreams(
     upstreams: Sequence[tuple[_One, Availability]],
 ) -> list[_One]:
-    """Return the upstreams that a request may go to, in the same order.
+    """Return the upstreams that a request may be sent to, in the same order.
 
-    Those that leave are kept for a service that has no other.
+    Leaving upstreams are used only if no upstream is open.
 
     Args:
-        upstreams: Upstreams with what each takes.
+        upstreams: Upstreams with the availability of each.
     """
     for wanted in (Availability.open, Availability.leaving):
         found = [one for one, standing in upstreams if standing is wanted]
@@ -81,14 +81,14 @@
 
 
 def shortest_pause(notices: Iterable[Notice], now: float) -> float | None:
-    """Return when the first of some paused upstreams takes requests again.
+    """Return the time until the first of several paused upstreams is open.
 
     Args:
-        notices: What each has said; those that leave are not waited for.
+        notices: Notices of each upstream; leaving upstreams are ignored.
         now: Monotonic time in seconds.
 
     Returns:
-        Seconds from now; None if one is not paused, or all leave.
+        Seconds from now; None if one is not paused or all are leaving.
     """
     staying = [one for one in notices if one.leaving_since is None]
     if not staying:
@@ -98,12 +98,13 @@
 
 
 def retry_after_seconds(pause_left: float) -> float:
-    """Return when a caller that meets a pause should come back, in seconds.
+    """Return the seconds after which a refused caller should retry.
 
-    Callers refused at different times would all come back at the end of the
-    pause, and be refused again. Those refused last come back first.
+    Without the added share, callers refused at different times would all retry
+    at the end of the pause and be refused again. With it, the callers refused
+    last retry first.
 
     Args:
-        pause_left: Seconds until an upstream takes requests again.
+        pause_left: Seconds until an upstream accepts requests again.
     """
     return pause_left * (1 + RETURN_SPREAD)
--- a/src/wardstair/decisions/placement.py
+++ b/src/wardstair/decisions/placement.py
@@ -1,41 +1,42 @@
-"""Choice of the upstream for one request among the ranked ones.
+"""Choice of the upstream for one request among the ranked candidates.
 
-The estimate is time to a whole answer: the way there, waiting for a slot, and
-the work, which is short where the key is warm. A request leaves the home of
-its key only for an upstream with a slot to spare: a run on a key that is not
-warm needs a slot several times as long and displaces a key that is, so a busy
-fleet that spills makes itself slower and spills more.
+The cost is the estimated time to a complete answer: the network round trip, the
+wait for a slot, and the work, which takes less time if the key is warm. A
+request leaves the preferred upstream of its key only for an upstream with a
+spare slot: a cold run occupies a slot several times as long and displaces a
+warm key, so a busy fleet that spills becomes slower and spills even more.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# Work on a key that the upstream does not remember, beside one that it does.
-# By the sheets of three deployments a first run takes 0.25 to 0.84 s, and later
-# ones three tenths of that.
+# Ratio of the work of a cold run to that of a run on a warm key. Cold runs take
+# 0.25 to 0.84 s, and runs on warm keys three tenths of that.
 COLD_KEY_FACTOR = 3.0
-# Part of its slots up to which an upstream takes keys that are not its own:
-# all of them while it remembers the key, some while it does not.
+# Share of its slots up to which an upstream takes requests for keys that prefer
+# another upstream, by whether the key is warm there.
 WARM_SPARE_SHARE = 1.0
 COLD_SPARE_SHARE = 0.6
-# Keeps equal candidates in rank order: a later rank knows the key less well.
+# Cost added for each rank, so that equal candidates are taken in rank order: a
+# key is less likely to be warm at a later rank.
 RANK_STEP_SECONDS = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An upstream as it looks to this host now.
+    """An upstream with its current state, as known to this host.
 
     Attributes:
-        name: Names the upstream's run.
-        rank: Its place in the order for the key; 0 is the home.
-        round_trip: Seconds there and back.
-        load: Requests expected to be at it now, from all hosts.
-        slots: Requests it works on at once.
-        is_warm: Whether it probably remembers the key.
-        slowness: Its work time beside others of the service; 1 is usual.
-        transfer_cost: What sending it there costs, in seconds of delay that
-            would be as bad.
+        name: Name of the upstream and its incarnation.
+        rank: Rank of the upstream for the key; 0 is the preferred upstream.
+        round_trip: Network round trip in seconds.
+        load: Expected number of requests at the upstream, from all hosts.
+        slots: Number of requests that it processes concurrently.
+        is_warm: Whether the key is probably warm there.
+        slowness: Ratio of its work time to that of the other upstreams of the
+            service; 1 is usual.
+        transfer_cost: Cost of the data transfer, as an equivalent delay in
+            seconds.
     """
 
     name: str
@@ -54,7 +55,7 @@
 
     Attributes:
         candidate: The upstream.
-        seconds: Expected time to a whole answer.
+        seconds: Expected time to a complete answer.
     """
 
     candidate: Candidate
@@ -70,9 +71,9 @@
 
     Args:
         candidates: Upstreams that may serve the request.
-        work: Usual seconds of work on a key that is warm.
+        work: Usual seconds of work on a warm key.
         queue_share: Requests above its slots that an upstream may have, as a
-            share of the slots; less for what is less important.
+            share of the slots; lower for less important requests.
 
     Returns:
         The choice, or None if every upstream is full.
@@ -80,7 +81,7 @@
     best: Choice | None = None
     best_cost = float('inf')
     for candidate in candidates:
-        if not _has_room(candidate, queue_share):
+        if not _has_capacity(candidate, queue_share):
             continue
         seconds = expected_seconds(candidate, work)
         cost = seconds + candidate.transfer_cost
@@ -92,7 +93,7 @@
 
 
 def expected_seconds(candidate: Candidate, work: float) -> float:
-    """Return the expected seconds to a whole answer."""
+    """Return the expected time to a complete answer, in seconds."""
     over = max(0.0, candidate.load + 1 - candidate.slots)
     wait = over * work * candidate.slowness / candidate.slots
     own_work = work * candidate.slowness
@@ -102,17 +103,17 @@
 
 
 def has_queue_capacity(candidate: Candidate, queue_share: float) -> bool:
-    """Return whether its queue is short enough for one request more.
+    """Return whether the queue of an upstream may take one more request.
 
     Args:
         candidate: The upstream.
-        queue_share: Requests above its slots that it may have, as a share of
-            the slots.
+        queue_share: Requests above its slots that the upstream may have, as a
+            share of the slots.
     """
     return candidate.load < candidate.slots * (1 + queue_share)
 
 
-def _has_room(candidate: Candidate, queue_share: float) -> bool:
+def _has_capacity(candidate: Candidate, queue_share: float) -> bool:
     if candidate.rank == 0:
         return has_queue_capacity(candidate, queue_share)
     share = WARM_SPARE_SHARE if candidate.is_warm else COLD_SPARE_SHARE
--- a/src/wardstair/decisions/placement_policies.py
+++ b/src/wardstair/decisions/placement_policies.py
@@ -1,9 +1,9 @@
-"""Placement policies: by what rule an upstream is chosen for a request.
+"""Placement policies: rules by which an upstream is chosen for a request.
 
-Operators name one in the settings and may change it while requests run. To
-add one: a data class here, a case in `choose_by`, and its name in `POLICIES`.
-What stands outside a policy holds under each of them: allowed regions,
-evacuations, cold upstreams, attempts, budgets and room.
+Operators select a policy in the settings and may change it while requests run.
+To add one, add a data class here, a case in `choose_by_policy` and a name in
+`POLICIES`. The following apply under every policy: permitted regions,
+evacuations, cold upstreams, attempts, budgets and queue capacity.
 """
 
 from collections.abc import Mapping, Sequence
@@ -20,10 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmPreferred:
-    """The home of the key, which remembers it; others only with room to spare.
+    """The key's preferred upstream; others only if they have spare slots.
 
     Attributes:
-        first_ranks: Ranks of the key that are looked at before all others.
+        first_ranks: Number of top-ranked upstreams that are considered before
+            all others.
     """
 
     first_ranks: int = 6
@@ -31,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeastInFlight:
-    """The upstream with the smallest part of its slots in use; a baseline."""
+    """The upstream with the lowest share of slots in use; a baseline."""
 
 
 @dataclass(frozen=True, slots=True)
 class EqualShares:
-    """Any upstream with room, drawn; a baseline that knows of no keys."""
+    """A random upstream with queue capacity; a baseline that ignores keys."""
 
 
 PlacementPolicy = WarmPreferred | LeastInFlight | EqualShares
@@ -50,13 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """What is known of the request beside the upstreams.
+    """Parameters of the request to place.
 
     Attributes:
-        work: Usual seconds of work on a key that is warm.
+        work: Usual seconds of work on a warm key.
         queue_share: Requests above its slots that an upstream may have, as a
             share of the slots.
-        draw: A number from 0 up to 1, drawn for this request.
+        draw: Random number for this request, at least 0 and less than 1.
     """
 
     work: float
@@ -69,10 +70,10 @@
     candidates: Sequence[Candidate],
     ask: PlacementRequest,
 ) -> Choice | None:
-    """Choose an upstream by a policy; None if none has room.
+    """Choose an upstream by a policy; None if none has queue capacity.
 
     Args:
-        policy: The rule.
+        policy: The policy.
         candidates: Upstreams that may serve the request, in rank order.
         ask: The request.
     """
@@ -80,34 +81,34 @@
         case WarmPreferred():
             return choose_by_cost(candidates, ask.work, ask.queue_share)
         case LeastInFlight():
-            return _emptiest(candidates, ask)
+            return _least_loaded(candidates, ask)
         case EqualShares():
-            return _drawn(candidates, ask)
+            return _random_choice(candidates, ask)
 
 
-def _emptiest(
+def _least_loaded(
     candidates: Sequence[Candidate],
     ask: PlacementRequest,
 ) -> Choice | None:
-    open_ones = _with_room(candidates, ask)
-    if not open_ones:
+    open_upstreams = _with_capacity(candidates, ask)
+    if not open_upstreams:
         return None
-    best = min(open_ones, key=lambda one: (one.load / one.slots, one.rank))
+    best = min(open_upstreams, key=lambda one: (one.load / one.slots, one.rank))
     return Choice(best, expected_seconds(best, ask.work))
 
 
-def _drawn(
+def _random_choice(
     candidates: Sequence[Candidate],
     ask: PlacementRequest,
 ) -> Choice | None:
-    open_ones = _with_room(candidates, ask)
-    if not open_ones:
+    open_upstreams = _with_capacity(candidates, ask)
+    if not open_upstreams:
         return None
-    drawn = open_ones[int(ask.draw * len(open_ones))]
+    drawn = open_upstreams[int(ask.draw * len(open_upstreams))]
     return Choice(drawn, expected_seconds(drawn, ask.work))
 
 
-def _with_room(
+def _with_capacity(
     candidates: Sequence[Candidate],
     ask: PlacementRequest,
 ) -> list[Candidate]:
--- a/src/wardstair/decisions/policies.py
+++ b/src/wardstair/decisions/policies.py
@@ -1,9 +1,9 @@
-"""Steering policies: to which zones the requests of a workload go.
+"""Steering policies: how the requests of a workload are split among zones.
 
-A policy is a pure function from an aged view of the zones to weights. It
-proposes only: slots, caps and grants stand outside it, so no policy, however
-wrong, can pass them. To add one: a data class here, a case in `weigh`, and
-its kind in the configuration's policy model.
+A policy is a pure function from possibly outdated views of the zones to
+weights. Slots, caps and grants are enforced elsewhere, so even a faulty policy
+cannot exceed them. To add a policy, add a data class here, a case in `weigh`,
+and its kind in the policy model of the configuration.
 """
 
 from collections.abc import Sequence
@@ -19,10 +19,10 @@
     """A zone as one host sees it for one workload.
 
     Attributes:
-        zone: Its name.
-        delay: One-way delay to it in milliseconds; 0 for one's own.
-        slots: Slots of its upstreams.
-        free: Slots that it last reported free.
+        zone: Name of the zone.
+        delay: One-way network delay in milliseconds; 0 for the host's zone.
+        slots: Total slots of its upstreams.
+        free: Free slots in its last report.
         age: Age of that report in seconds.
     """
 
@@ -34,22 +34,22 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the zone has room by a report fresh enough to act on."""
+        """Whether a recent report of the zone shows free slots."""
         return self.free >= LEAST_FREE and self.age <= FRESH_SECONDS
 
     @property
     def used_share(self) -> float:
-        """Share of its slots in use, 1.0 if it has none."""
+        """Share of its slots that are in use; 1.0 if it has no slots."""
         return 1 - self.free / self.slots if self.slots else 1.0
 
 
 @dataclass(frozen=True)
 class Nearest:
-    """The nearest zone, spilling over as it fills.
+    """The nearest zone, with spillover to the next ones as it fills.
 
     Attributes:
-        spill_at: Used share above which part of the requests goes on to the
-            next zone; the part grows to all of them when it is full.
+        spill_at: Used share above which some requests spill over to the next
+            zone; the spilled part grows to all requests when the zone is full.
     """
 
     spill_at: float = 0.8
@@ -57,10 +57,11 @@
 
 @dataclass(frozen=True)
 class Weighted:
-    """Zones by fixed weights, such as a share for each.
+    """Zones by fixed weights.
 
     Attributes:
-        weights: Weight of each zone by name; unnamed ones have none.
+        weights: Weight of each zone by name; zones without a weight get no
+            requests.
     """
 
     weights: dict[str, float] = field(default_factory=dict)
@@ -68,12 +69,12 @@
 
 @dataclass(frozen=True)
 class LeastInFlight:
-    """The zone with the smaller used share of two drawn at random."""
+    """The zone with the lower used share of two chosen at random."""
 
 
 @dataclass(frozen=True)
 class HeadroomFirst:
-    """Zones in proportion to their free slots, wherever they are."""
+    """Zones in proportion to their free slots, regardless of distance."""
 
 
 Policy = Nearest | Weighted | LeastInFlight | HeadroomFirst
@@ -81,7 +82,7 @@
 
 @dataclass(frozen=True)
 class ZoneWeight:
-    """How much of the requests a zone should get; any positive scale."""
+    """Relative share of requests for a zone; weights have no fixed scale."""
 
     zone: str
     weight: float
@@ -92,7 +93,7 @@
 
     Args:
         policy: The policy.
-        zones: All zones, this host's own included.
+        zones: All zones, including that of this host.
     """
     usable = [zone for zone in zones if zone.is_open]
     match policy:
@@ -111,7 +112,7 @@
 
 
 def draw(weights: Sequence[ZoneWeight], random: Random) -> str | None:
-    """Draw a zone by weight, or return None if there is none."""
+    """Choose a zone at random by weight; return None if there is none."""
     if not weights:
         return None
     chosen = random.choices(
@@ -143,8 +144,8 @@
 
 
 def _pairwise(zones: Sequence[ZoneView]) -> list[ZoneWeight]:
-    # Drawing two of n and keeping the better gives the zone of rank r (0 is
-    # best) the chance (n - r - 1) / (n choose 2); one zone gets all.
+    # If the better of two zones out of n is chosen, the zone of rank r (0 is
+    # best) has the probability (n - r - 1) / (n choose 2).
     ranked = sorted(zones, key=lambda zone: (zone.used_share, zone.zone))
     if len(ranked) == 1:
         return [ZoneWeight(ranked[0].zone, 1)]
--- a/src/wardstair/decisions/quota.py
+++ b/src/wardstair/decisions/quota.py
@@ -1,4 +1,4 @@
-"""How many requests of an organisation one host may admit.
+"""Quotas of organisations: how many requests one host may admit.
 
 A quota limits the requests admitted by all hosts together in a sliding window.
 Each host counts the requests of its callers in that window, receives the counts
@@ -9,9 +9,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-# Fraction of `QuotaBound.borne` below which every request is admitted. It takes
-# effect for small quotas, where the slack is large relative to the quota.
-BORNE_USED = 0.82
+# Fraction of `QuotaBound.max_per_window` below which every request is admitted.
+# It takes effect for small quotas, where the slack is large relative to the
+# quota.
+MAX_FRACTION_USED = 0.82
 # Fraction of `QuotaBound.unrestricted` divided among hosts when demand exceeds
 # it. The rest covers demand that has not yet been reported to other hosts.
 SHARED_FRACTION = 0.97
@@ -48,14 +49,14 @@
         return self.rate * self.window + self.burst
 
     @property
-    def borne(self) -> float:
-        """Maximum number of requests that may run in a window."""
+    def max_per_window(self) -> float:
+        """Maximum number of requests that may be admitted in a window."""
         return self.guaranteed * (1 + self.overshoot) + self.slack
 
     @property
     def unrestricted(self) -> float:
         """Requests in a window below which all are admitted."""
-        return max(self.guaranteed, self.borne * BORNE_USED)
+        return max(self.guaranteed, self.max_per_window * MAX_FRACTION_USED)
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/wardstair/decisions/ranking.py
+++ b/src/wardstair/decisions/ranking.py
@@ -1,9 +1,9 @@
-"""Which upstreams a key belongs to: weighted rendezvous hashing.
+"""Ranking of the upstreams for a key by weighted rendezvous hashing.
 
-An upstream that saw a key lately answers it several times faster, and
-remembers a limited number of keys. Every entry host ranks the upstreams for a
-key in the same order without talk, and when an upstream leaves only its own
-keys move.
+An upstream answers several times faster for a key that it has processed
+recently, and caches a limited number of keys. Every entry host computes the
+same ranking without communication. When an upstream leaves, only its own keys
+move.
 """
 
 import math
@@ -20,8 +20,8 @@
     """An upstream with its weight for one kind of request.
 
     Attributes:
-        name: Names the upstream's run.
-        weight: How many keys it should get, beside the others.
+        name: Name of the upstream and its incarnation.
+        weight: Share of the keys that it should get, relative to the others.
     """
 
     name: str
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProximityFactors:
-    """Factors on the weight of an upstream by its place.
+    """Factors on the weight of an upstream by its location.
 
     Attributes:
-        zone: For the availability zone of this host.
-        region: For other zones of its region.
-        far: For other regions.
+        zone: Factor in the availability zone of this host.
+        region: Factor in the other zones of its region.
+        far: Factor in other regions.
     """
 
     zone: float
@@ -43,26 +43,28 @@
     far: float = 1.0
 
 
-def rank(key: str, places: Iterable[WeightedUpstream]) -> list[str]:
-    """Return upstream names, the key's home first.
+def rank(key: str, upstreams: Iterable[WeightedUpstream]) -> list[str]:
+    """Return upstream names in rank order, the preferred upstream first.
 
     Args:
-        key: What the request concerns.
-        places: Upstreams with weights; those without weight are left out.
+        key: Affinity key of the request.
+        upstreams: Upstreams with weights; those without weight are left out.
     """
     scored = [
-        (_score(key, place), place.name) for place in places if place.weight > 0
+        (_score(key, upstream), upstream.name)
+        for upstream in upstreams
+        if upstream.weight > 0
     ]
     scored.sort()
     return [name for _, name in scored]
 
 
 def unit_hash(text: str) -> float:
-    """Return a number above 0 and below 1, the same on every host."""
+    """Hash a text to a number strictly between 0 and 1, equal on all hosts."""
     return (xxh64_intdigest(text.encode()) + 0.5) / _HASH_RANGE
 
 
-def _score(key: str, place: WeightedUpstream) -> float:
-    # The least of exponentially distributed scores falls on each place in
-    # proportion to its weight.
-    return -math.log(unit_hash(f'{key} {place.name}')) / place.weight
+def _score(key: str, upstream: WeightedUpstream) -> float:
+    # With exponentially distributed scores, the probability that an upstream
+    # has the lowest score is proportional to its weight.
+    return -math.log(unit_hash(f'{key} {upstream.name}')) / upstream.weight
--- a/src/wardstair/decisions/reachability.py
+++ b/src/wardstair/decisions/reachability.py
@@ -1,33 +1,35 @@
-"""Whether upstreams are down, or this host is cut off from them.
+"""Detects whether upstreams are down or this host is cut off from them.
 
-A host alone cannot tell: either way nothing that it sends is answered. Its own
-failures say which upstreams it does not reach; what other hosts say of
-themselves tells whether somebody does.
+A host cannot distinguish the two by itself, since its requests are unanswered
+in either case. Its own failures show which upstreams it cannot reach; reports
+of other hosts show whether any host reaches them.
 """
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-# The group of all upstreams; others are those of a zone or a service.
+# The group of all upstreams; other groups are those of a zone or a service.
 ALL = '*'
-# Upstreams that fail with none of their group reached between: one that ends
-# and the next one of a rollout are two.
+# Number of different upstreams of a group that have to fail without an answer
+# in between. In a rollout two may fail without a fault: the one that has exited
+# and the next one.
 MAX_FAILURES_NEEDED = 3
 MIN_FAILURES = 2
-# Time for which failures go on without an answer between before they are taken
-# for more than chance.
+# Time for which failures must continue without an answer in between before they
+# count as more than coincidence.
 LEAST_GAP_SECONDS = 0.1
-# Parts of the time of contact, after which a cut host is held to the bound.
-# Silence of all upstreams that is worth a look; a round trip between regions
-# and its repetition are shorter than the least of it.
+# Silence of all upstreams after which reachability is checked, as a share of
+# the time after a cut from which callers have to be served. The minimum is
+# longer than a round trip between regions and its repetition.
 SILENCE_SHARE = 1 / 16
 LEAST_SILENCE_SECONDS = 0.2
-# How long a probe waits, and how often a host that is cut off sends one.
+# Timeout of a probe and probe period of a host that is cut off, as a share of
+# the same time.
 PROBE_SHARE = 1 / 8
-# Answers that should have come in a silence: with as many expected, none comes
-# by chance once in 400 times.
+# Number of answers expected during a silence from which it is unusual. With
+# this many expected, the probability that none arrives is 1 in 400.
 MISSED_ANSWERS = 6.0
-# How fast the rate of answers follows the last ones.
+# Smoothing factor of the answer rate.
 RATE_SHARE = 0.3
 
 
@@ -43,12 +45,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeTimes:
-    """When a host looks whether it reaches upstreams, in seconds.
+    """When a host checks whether it reaches upstreams, in seconds.
 
     Attributes:
-        silence: Silence of all upstreams that is worth a look.
-        probe: Longest wait for a probe, and the period of probes of a host
-            that is cut off.
+        silence: Silence of all upstreams after which reachability is checked.
+        probe: Timeout of a probe, and probe period of a host that is cut off.
     """
 
     silence: float
@@ -56,11 +57,10 @@
 
 
 def probe_times(contact_seconds: float) -> ProbeTimes:
-    """Return the times that keep the bound on hosts that are cut off.
+    """Return the times that keep the bound for hosts that are cut off.
 
     Args:
-        contact_seconds: Time after a cut from which on callers have to be
-            served.
+        contact_seconds: Time after a cut from which callers have to be served.
     """
     return ProbeTimes(
         max(LEAST_SILENCE_SECONDS, contact_seconds * SILENCE_SHARE),
@@ -70,11 +70,11 @@
 
 @dataclass(slots=True)
 class GroupReachability:
-    """What this host has seen of a group of upstreams.
+    """Reachability of a group of upstreams, as observed by this host.
 
     Attributes:
-        reached_at: Monotonic time of the last answer of one.
-        failed: Names of those that were not reached since.
+        reached_at: Monotonic time of the last answer from the group.
+        failed: Names of the upstreams that were not reached since.
         failing_since: Monotonic time of the first failure since.
     """
 
@@ -83,34 +83,34 @@
     failing_since: float = float('inf')
 
     def note_reached(self, now: float) -> None:
-        """Note an answer."""
+        """Record an answer."""
         self.reached_at = now
         if self.failed:
             self.failed.clear()
             self.failing_since = float('inf')
 
     def note_failed(self, name: str, now: float) -> None:
-        """Note that an upstream was not reached."""
+        """Record that an upstream was not reached."""
         if not self.failed:
             self.failing_since = now
         self.failed.add(name)
 
     def is_suspected(self, now: float) -> bool:
-        """Return whether it may be out of reach.
+        """Return whether the group may be unreachable.
 
-        Several exchanges that break within a moment, between answers that come
-        all the time, say nothing of the way.
+        Several exchanges that break within a moment, while answers arrive
+        regularly, do not indicate a network fault.
         """
         if len(self.failed) < MIN_FAILURES:
             return False
         return now - self.failing_since >= LEAST_GAP_SECONDS
 
     def is_lost(self, size: int) -> bool:
-        """Return whether none of the group is reached.
+        """Return whether no upstream of the group is reachable.
 
         Args:
-            size: Upstreams in the group. One alone is avoided like any
-                upstream that fails.
+            size: Number of upstreams in the group. A single upstream is avoided
+                like any failing upstream instead.
         """
         needed = min(MAX_FAILURES_NEEDED, size)
         return len(self.failed) >= max(MIN_FAILURES, needed)
@@ -120,12 +120,12 @@
     groups: Mapping[str, GroupReachability],
     members: Mapping[str, Iterable[str]],
 ) -> set[str]:
-    """Return the groups of which no upstream is reached.
+    """Return the groups of which no upstream is reachable.
 
     Args:
-        groups: What was seen of each group; upstreams that are gone are
-            forgotten.
-        members: The groups of each upstream that takes work, by name.
+        groups: Reachability by group; upstreams that are no longer members are
+            removed from it.
+        members: The groups of each upstream that accepts work, by name.
     """
     sizes: dict[str, int] = {}
     for names in members.values():
@@ -140,21 +140,21 @@
 
 
 def outermost(groups: Collection[str]) -> frozenset[str]:
-    """Return groups without those that are within another one of them."""
+    """Return the groups that are not contained in another one of them."""
     return frozenset((ALL,)) if ALL in groups else frozenset(groups)
 
 
 @dataclass(slots=True)
 class NewConnectionReachability:
-    """What new connections to upstreams have shown, apart from open ones.
+    """Reachability of upstreams by new connections, apart from open ones.
 
-    Open ones may live on while each new one is refused or reset, and a request
-    on one that is reset may have run. What is seen of either kind says nothing
-    of the other.
+    Open connections may keep working while every new one is refused or reset,
+    and a request on a connection that is reset may have run. Observations of
+    one kind therefore don't apply to the other.
 
     Attributes:
-        closed: Groups to which new connections fail; only `ALL` if it is that.
-        is_suspect: Whether new connections may have begun to fail just now.
+        closed: Groups to which new connections fail; only `ALL` if that is one.
+        is_suspect: Whether new connections may just have begun to fail.
     """
 
     closed: frozenset[str] = frozenset()
@@ -163,11 +163,11 @@
 
     @property
     def is_sound(self) -> bool:
-        """Whether requests may go on new connections to all upstreams."""
+        """Whether requests may use new connections to all upstreams."""
         return not (self.closed or self.is_suspect)
 
     def may_open(self, groups: Collection[str]) -> bool:
-        """Return whether a request may go on a new connection.
+        """Return whether a request may use a new connection.
 
         Args:
             groups: The groups of its upstream.
@@ -175,7 +175,7 @@
         return not self.is_suspect and self.closed.isdisjoint(groups)
 
     def note_answered(self, groups: Collection[str], now: float) -> None:
-        """Note an answer on a connection that had served nothing before.
+        """Record the first answer on a connection.
 
         Args:
             groups: The groups of the upstream.
@@ -191,7 +191,7 @@
         groups: Collection[str],
         now: float,
     ) -> bool:
-        """Note a connection that ended before it had served anything.
+        """Record that a connection ended without a single answer.
 
         Args:
             upstream: Name of the upstream.
@@ -199,8 +199,8 @@
             now: Monotonic time in seconds.
 
         Returns:
-            Whether several of a group that is not closed yet have failed with
-            no answer between.
+            Whether several upstreams of a group that is not closed yet have
+            failed without an answer in between.
         """
         most = 0
         for name in groups:
@@ -211,19 +211,20 @@
         return most >= MIN_FAILURES
 
     def mark_suspect(self) -> bool:
-        """Doubt new connections; return False if that tells nothing new."""
+        """Mark new connections as suspect; return whether that changes it."""
         if self.is_suspect or ALL in self.closed:
             return False
         self.is_suspect = True
         return True
 
     def settle(self, members: Mapping[str, Iterable[str]]) -> bool:
-        """Work out what is closed; return whether that has changed.
+        """Update the closed groups; return whether they have changed.
 
-        No time is asked for between failures: whoever doubts asks upstreams.
+        Unlike for open connections, failures need not last for a minimum time,
+        because upstreams are probed while new connections are suspect.
 
         Args:
-            members: The groups of each upstream that takes work, by name.
+            members: The groups of each upstream that accepts work, by name.
         """
         before = self.closed
         self.closed = outermost(lost_groups(self._groups, members))
@@ -235,10 +236,10 @@
 
 @dataclass(slots=True)
 class SilenceDetector:
-    """Finds out that answers have stopped coming.
+    """Detects that answers have stopped arriving.
 
     Attributes:
-        rate: Answers a second, averaged.
+        rate: Average number of answers per second.
     """
 
     rate: float = 0.0
@@ -246,36 +247,36 @@
     _stepped_at: float = 0.0
 
     def step(self, answers: int, now: float) -> None:
-        """Take in how many answers have come.
+        """Update the rate from the number of answers.
 
         Args:
-            answers: Their number since the process started.
+            answers: Number of answers since the process started.
             now: Monotonic time in seconds.
         """
         seconds = now - self._stepped_at
         came = answers - self._answers
-        # A silence that is being looked at says nothing of the usual rate.
+        # A silence that is being checked must not lower the usual rate.
         if came and seconds > 0:
             self.rate += RATE_SHARE * (came / seconds - self.rate)
             self._stepped_at = now
             self._answers = answers
 
     def is_unusual(self, silent_seconds: float, overdue: int) -> bool:
-        """Return whether a silence is unlikely to be chance.
+        """Return whether a silence is unlikely to be coincidence.
 
         Args:
             silent_seconds: Time since the last answer, while requests wait.
-            overdue: Upstreams that take far longer than expected.
+            overdue: Number of upstreams that take far longer than expected.
         """
         is_missed = self.rate * silent_seconds >= MISSED_ANSWERS
         return is_missed or overdue >= MIN_FAILURES
 
 
-def is_down(group: str, told: Iterable[Collection[str]]) -> bool:
-    """Return whether nobody reaches a group that this host does not reach.
+def is_down(group: str, reports: Iterable[Collection[str]]) -> bool:
+    """Return whether no host reaches a group that this host does not reach.
 
     Args:
         group: The group.
-        told: Groups that each of the other hosts does not reach.
+        reports: Groups that are unreachable from each of the other hosts.
     """
-    return all(ALL in lost or group in lost for lost in told)
+    return all(ALL in lost or group in lost for lost in reports)
--- a/src/wardstair/decisions/rebalancing.py
+++ b/src/wardstair/decisions/rebalancing.py
@@ -1,44 +1,41 @@
-"""Keys move off an upstream that stays more crowded than its like.
+"""Moves keys off an upstream that stays more loaded than its peers.
 
-Hashing gives each upstream its keys by chance: of twelve with sixteen keys in
-the mean, the fullest has some twenty-five, and its callers queue while others
-idle. Every host lowers the weight of such an upstream step by step, so that
-only some of its keys move at a time, to where each would go if it were gone.
-Before it was kept to calm services, 0.898 of the credit was earned with it in
-place of 0.890 on a day of high load of one deployment, 0.882 for 0.879 and
-0.886 for 0.890 on two others (one play each). By itself it is not measured
-since.
+Hashing assigns keys to upstreams at random: of twelve upstreams with 16 keys on
+average, the fullest has about 25, and its callers queue while other upstreams
+are idle. Every host lowers the weight of such an upstream in steps, so that few
+of its keys move at a time, each to the upstream that ranks next for it.
 """
 
 from collections.abc import Collection
 from dataclasses import dataclass
 
-# Requests for each slot, running and waiting, from which one is crowded.
+# Running and waiting requests per slot above which an upstream is overloaded.
 OVERLOADED = 0.8
-# Beside the mean of its service, so that a service that is full as a whole
-# moves nothing.
+# Multiple of the mean of the service that it must exceed as well, so that no
+# keys move while the whole service is full.
 OVERLOADED_MULTIPLE = 1.3
-# Mean of a service above which nothing moves: while most keys run first, or all
-# upstreams are full, every moved key is one more first run.
+# Mean utilization of a service from which no keys move: while most runs are
+# cold or all upstreams are full, every moved key adds a cold run.
 MAX_MEAN_UTILIZATION = 1.0
-# Part of its weight, and so about of its keys, that goes in one step.
+# Share of its weight, and so about the share of its keys, that an upstream
+# loses in one step.
 WEIGHT_STEP = 0.1
-# Beside the mean, from which one gets a step of its keys back.
+# Multiple of the mean below which an upstream regains a step of its weight.
 UNDERUSED_MULTIPLE = 0.6
 MIN_WEIGHT = 0.4
-# Seconds between steps: a key that has moved runs first in its new place, and
-# the load told has to show that.
+# Time between steps. A moved key causes a cold run on its new upstream, which
+# has to appear in the reported load before the next step.
 WEIGHT_STEP_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamUtilization:
-    """How full an upstream is.
+    """Utilization of an upstream.
 
     Attributes:
-        name: Names the upstream's run.
-        weight: Factor on its weight now, 1 at most.
-        utilization: Requests for each slot, averaged over the last seconds.
+        name: Name of the upstream and its incarnation.
+        weight: Current factor on its weight, at most 1.
+        utilization: Requests per slot, averaged over the last seconds.
     """
 
     name: str
@@ -47,21 +44,21 @@
 
 
 def rebalanced_weights(
-    crowds: Collection[UpstreamUtilization],
+    upstreams: Collection[UpstreamUtilization],
 ) -> dict[str, float]:
-    """Return new factors for the upstreams of a service whose factor changes.
+    """Return the new factors of the upstreams whose factor changes.
 
     Args:
-        crowds: Those that told their load lately.
+        upstreams: Upstreams of one service with a recently reported load.
     """
-    if not crowds:
+    if not upstreams:
         return {}
-    mean = sum(one.utilization for one in crowds) / len(crowds)
+    mean = sum(one.utilization for one in upstreams) / len(upstreams)
     if mean >= MAX_MEAN_UTILIZATION:
         return {}
     limit = max(OVERLOADED, mean * OVERLOADED_MULTIPLE)
     changed = {}
-    for one in crowds:
+    for one in upstreams:
         weight = one.weight
         if one.utilization > limit:
             weight = max(MIN_WEIGHT, weight * (1 - WEIGHT_STEP))
--- a/src/wardstair/decisions/region_moves.py
+++ b/src/wardstair/decisions/region_moves.py
@@ -1,44 +1,45 @@
-"""Paces what moves between regions when a route gets other services.
+"""Limits how fast requests move between regions when a route changes services.
 
 Two services may have their upstreams in different regions, so a change of a
-route's weights moves requests between regions the moment it is in force. The
-weights have to be kept at once, the regions need not: a route's requests first
-go to the regions in the shares that they had, and these follow step by step.
-Without it a change of nine tenths to one tenth moved 0.34 of a region's
-requests at once, where the new service had an eighth of its upstreams there
-and the old one a third.
+route's weights can move requests between regions as soon as it is in force. The
+weights apply immediately, the regions need not: a route's requests first go to
+the regions in the previous shares, which then change gradually. Without the
+limit, a change from nine tenths to one tenth moved 0.34 of a region's requests
+at once, where the new service had an eighth of its upstreams in the region and
+the old one a third.
 """
 
 from dataclasses import dataclass
 
-# Windows in which operators look at moves.
+# Length of the windows over which operators measure moves.
 WINDOW_SECONDS = 2.0
-# Part of the bound that is used: keys are spread by chance, and what callers
-# ask for changes as well.
+# Share of the bound that is used. The rest covers the random spread of keys and
+# changes of what callers request.
 BOUND_USED = 0.6
-# The own region's share stays this far from none and all, where no factor on a
-# weight gives the share.
+# Minimum distance of the host region's share from 0 and 1: no finite factor on
+# a weight yields exactly 0 or 1.
 EDGE = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class RegionMove:
-    """A move of one route's requests under way.
+    """A move of one route's requests in progress.
 
     Attributes:
-        offset: What its share in the own region was above what it will be.
-        began_at: Monotonic time when the change came in force.
+        offset: The route's previous share in the host's region minus its new
+            share.
+        began_at: Monotonic time at which the change came into force.
     """
 
     offset: float
     began_at: float
 
     def left(self, now: float, most_share: float) -> float:
-        """Return what is left of the offset.
+        """Return the remaining offset.
 
         Args:
             now: Monotonic time in seconds.
-            most_share: Largest share that may move from window to window.
+            most_share: Largest share that may move between two windows.
         """
         rate = most_share * BOUND_USED / WINDOW_SECONDS
         gone = rate * (now - self.began_at)
@@ -48,11 +49,11 @@
 
 
 def odds_factor(share: float, offset: float) -> float:
-    """Return the factor on weights that moves a share by an offset.
+    """Return the factor on weights that changes a share by an offset.
 
     Args:
-        share: The own region's share by its weights, 0 to 1.
-        offset: What it is to be above that.
+        share: Share of the host's region by its weights, 0 to 1.
+        offset: Desired change of the share.
     """
     if not EDGE < share < 1 - EDGE:
         return 1.0
--- a/src/wardstair/decisions/relays.py
+++ b/src/wardstair/decisions/relays.py
@@ -1,7 +1,8 @@
-"""Which hosts of an availability zone speak for it to other zones.
+"""Choice of the relays, the hosts that represent a zone to other zones.
 
-Inside a zone every host sends its heartbeat to every other; between zones only
-the relays do. So what a host sends grows with its zone, not with the fleet.
+Inside a zone every host sends its heartbeat to every other host; between zones
+only the relays do. The traffic of a host thus grows with its zone, not with the
+fleet.
 """
 
 from collections.abc import Iterable
@@ -12,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayCandidate:
-    """A host that could be a relay of its zone.
+    """A host that may become a relay of its zone.
 
     Attributes:
-        name: Its name.
+        name: Name of the host.
         hears_store: Whether it is in contact with the platform's store.
     """
 
@@ -27,15 +28,15 @@
     candidates: Iterable[RelayCandidate],
     zone: str,
 ) -> tuple[str, ...]:
-    """Choose the relays of a zone, the same on all hosts that ask.
+    """Choose the relays of a zone, with the same result on every host.
 
     Args:
         candidates: Live hosts of the zone that are not leaving.
         zone: The availability zone.
 
     Returns:
-        Names; hosts in contact with the store come before all others, since a
-        relay without it has nothing to tell that the zone does not know.
+        Names of the relays. Hosts in contact with the store are preferred,
+        since a relay without contact has no updates that the zone lacks.
     """
     hosts = {host.name: host.hears_store for host in candidates}
     ranked = rendezvous(hosts, f'relay {zone}', len(hosts))
--- a/src/wardstair/decisions/request_identity.py
+++ b/src/wardstair/decisions/request_identity.py
@@ -1,17 +1,19 @@
-"""Which tries are the same request, whatever id each carries.
+"""Identity of a request, which its retries share regardless of their ids.
 
-What an upstream does depends on the bytes that it gets, so these name the
-request. The caller's address does not: no upstream is told it, and callers
-change it behind shared addresses. Cookies are left out as well, since services
-issue them anew between tries; credentials stay the same and name the caller.
+The behaviour of an upstream depends on the bytes that it receives, so these
+identify the request. The caller's address is excluded: it is not sent to
+upstreams, and it changes for callers behind shared addresses. Cookies are
+excluded because services reissue them between retries. Credentials stay the
+same and identify the caller.
 """
 
 from hashlib import blake2b
 
-# By a hash that nobody can aim at another's request. At 8 bytes, two of a
-# million requests that are remembered agree with a chance of 3e-8.
+# Size of the digest. A cryptographic hash prevents a caller from producing the
+# identity of another's request. With 8 bytes, the probability that any two of a
+# million stored requests collide is 3e-8.
 IDENTITY_BYTES = 8
-# Headers that name the caller to an upstream; lower case, as they are compared.
+# Headers that identify the caller to an upstream, in lower case for comparison.
 CREDENTIALS = frozenset(('authorization', 'proxy-authorization'))
 
 
@@ -23,16 +25,16 @@
     headers: tuple[tuple[str, str], ...] = (),
     organisation: str = '',
 ) -> str:
-    """Return the name of a request, the same for each of its tries.
+    """Return the identity of a request, the same for each of its retries.
 
     Args:
         method: HTTP method.
         host: Host name, lower case, without a port.
         target: Path and query, as sent.
         body: The whole body.
-        headers: Headers that go on to an upstream.
+        headers: Headers that are forwarded to an upstream.
         organisation: Name of the organisation that is sent to the upstream;
-            empty if none is.
+            empty if none is sent.
 
     Returns:
         16 hexadecimal digits.
--- a/src/wardstair/decisions/resends.py
+++ b/src/wardstair/decisions/resends.py
@@ -1,31 +1,30 @@
-"""The fleet's budget of resends, divided among its hosts without talk.
+"""The fleet's resend budget, divided among hosts without communication.
 
-What a service gets beyond the first send of each request is limited over the
-fleet: a share of the requests and a fixed number beside it, in any window.
-Each host keeps to that share of its own first sends and to its part of the
-fixed number, so no partition or restart makes the sum exceed the limit.
+Resends to a service are limited over the fleet: in any window, to a ratio of
+the first sends plus a fixed number. Each host applies the ratio to its own
+first sends and takes a part of the fixed number, so neither a partition nor a
+restart makes the sum exceed the limit.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-# Part of the limit that is used; the rest is for hosts that restart and
-# forget what they have spent.
+# Shares of the limit that are used. The rest covers hosts that restart and lose
+# their counts.
 RATIO_USED = 0.8
 EXTRA_USED = 0.6
-# Sends that are older than this many seconds count in no window. The users'
-# windows are of 10 s.
+# Age in seconds from which sends are dropped. Configured windows are 10 s long.
 LONGEST_WINDOW = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class ResendLimit:
-    """The limit of one host.
+    """A limit on resends in any window.
 
     Attributes:
-        ratio: Resends a first send.
-        extra: Resends beside that ratio in one window.
-        window: The window in seconds.
+        ratio: Resends allowed for each first send.
+        extra: Resends allowed in a window in addition to the ratio.
+        window: Length of the window in seconds.
     """
 
     ratio: float
@@ -38,8 +37,8 @@
 
     Args:
         limit: The fleet's limit.
-        hosts: Hosts of the fleet, those included that look dead: one that is
-            cut off goes on spending its part.
+        hosts: Number of hosts in the fleet, including those that look dead: a
+            host that is cut off continues to use its part.
     """
     return ResendLimit(
         limit.ratio * RATIO_USED,
@@ -57,7 +56,7 @@
 
     @property
     def size(self) -> int:
-        """Sends that are remembered."""
+        """Number of sends that are stored."""
         return len(self._firsts) + len(self._resends)
 
     def note_first(self, now: float) -> None:
@@ -66,7 +65,7 @@
         self._firsts.append(now)
 
     def take(self, limit: ResendLimit, now: float) -> bool:
-        """Take one resend; return False if none is left.
+        """Use one resend of the budget; return False if none is left.
 
         Args:
             limit: This host's part of the limit.
--- a/src/wardstair/decisions/retries.py
+++ b/src/wardstair/decisions/retries.py
@@ -1,7 +1,7 @@
-"""Retry budget: a fraction of first tries, by class of caller.
+"""Retry budgets: retries as a fraction of first tries, by class of caller.
 
-The idea of a budget that first tries fill and retries empty is Finagle's.
-It keeps a failing upstream from being met with a multiple of its load.
+As in Finagle, first tries add to a budget and retries take from it, so that a
+failing upstream does not receive a multiple of its usual load.
 """
 
 from dataclasses import dataclass, field
@@ -12,7 +12,7 @@
 
 
 class RetryReason(StrEnum):
-    """Why an attempt may be followed by another."""
+    """Why an attempt may be retried."""
 
     connect_refused = 'connect-refused'
     connect_timeout = 'connect-timeout'
@@ -22,7 +22,7 @@
 
 
 class RetryVerdict(StrEnum):
-    """Whether an attempt is followed by another."""
+    """Whether an attempt is retried, or why not."""
 
     retry = 'retry'
     not_repeatable = 'not-repeatable'
@@ -33,12 +33,12 @@
 
 @dataclass
 class RetryBudget:
-    """Credits of one class of callers.
+    """Retry credits of one class of callers.
 
     Attributes:
-        credits: Retries that may be made now.
+        credits: Retries that are allowed now.
         share: Credits that each first try adds.
-        reserve: Most credits that are kept.
+        reserve: Maximum number of credits.
     """
 
     credits: float = RETRY_RESERVE
@@ -50,7 +50,7 @@
         self.credits = min(self.credits + self.share, self.reserve)
 
     def withdraw(self) -> bool:
-        """Take one retry; return False if none is left."""
+        """Use one retry; return False if none is left."""
         if self.credits < 1:
             return False
         self.credits -= 1
@@ -59,26 +59,26 @@
 
 @dataclass
 class RetryBudgets:
-    """The budgets of all classes; a class is a workload by name."""
+    """The budgets of all classes of callers; a class is a workload name."""
 
     budgets: dict[str, RetryBudget] = field(default_factory=dict)
 
     def of(self, caller_class: str) -> RetryBudget:
-        """Return the budget of a class, new if it has none yet."""
+        """Return the budget of a class; create it if there is none."""
         return self.budgets.setdefault(caller_class, RetryBudget())
 
 
 @dataclass(frozen=True)
 class FailedAttempt:
-    """What is known when an attempt has failed.
+    """A failed attempt.
 
     Attributes:
-        reason: What went wrong.
+        reason: Why the attempt failed.
         may_have_run: False only if the attempt provably did not run.
-        is_repeatable: Whether the route may be repeated.
+        is_repeatable: Whether requests of the route may be repeated.
         body_consumed: Whether body bytes were read that cannot be read again.
         time_left: Seconds until the caller's deadline.
-        time_needed: Seconds that another attempt is expected to take.
+        time_needed: Expected duration of another attempt in seconds.
     """
 
     reason: RetryReason
@@ -90,7 +90,7 @@
 
 
 def judge_retry(attempt: FailedAttempt, budget: RetryBudget) -> RetryVerdict:
-    """Decide whether a failed attempt is followed by another."""
+    """Decide whether a failed attempt is retried."""
     if attempt.may_have_run and not attempt.is_repeatable:
         return RetryVerdict.not_repeatable
     if attempt.body_consumed:
--- a/src/wardstair/decisions/route_profile.py
+++ b/src/wardstair/decisions/route_profile.py
@@ -1,14 +1,15 @@
-"""What the requests of a route usually take, learned from answers."""
+"""Usual work time and size of the requests of a route, from their answers."""
 
 from dataclasses import dataclass
 
-# Kilobytes there and back from which a route's requests rather stay in the
-# zone.
+# Size of request and answer from which a route's requests preferably stay in
+# the zone.
 HEAVY_KILOBYTES = 4.0
-# Heads of a request and its answer together.
+# Assumed size of the headers of a request and its answer together.
 _HEAD_KILOBYTES = 0.7
 _KILOBYTE = 1024
-# How fast the usual work of a route follows shorter and longer answers.
+# Smoothing factors of the averages: for work times below the average, for sizes
+# and for work times above the average.
 _DOWN_SHARE = 0.1
 _SIZE_SHARE = 0.05
 _UP_SHARE = 0.03
@@ -16,11 +17,11 @@
 
 @dataclass(slots=True)
 class RouteProfile:
-    """What the requests of a route usually take, averaged.
+    """Averages over the requests of a route.
 
     Attributes:
-        seconds: Work on a key that is warm.
-        kilobytes: Bytes there and back, heads included.
+        seconds: Work time on a warm key.
+        kilobytes: Size of request and answer, including headers.
     """
 
     seconds: float
@@ -28,21 +29,21 @@
 
     @property
     def is_heavy(self) -> bool:
-        """Whether its requests rather stay in the zone."""
+        """Whether requests of the route preferably stay in the zone."""
         return self.kilobytes >= HEAVY_KILOBYTES
 
     def note_size(self, body_bytes: int) -> None:
-        """Take in the bytes of both bodies of a request."""
+        """Update the average size with the bodies of a request and answer."""
         size = _HEAD_KILOBYTES + body_bytes / _KILOBYTE
         if not self.kilobytes:
             self.kilobytes = size
         self.kilobytes += _SIZE_SHARE * (size - self.kilobytes)
 
     def note(self, seconds: float) -> None:
-        """Take in the time of one answer without the way.
+        """Update the work time with one answer, excluding the network delay.
 
-        Slow answers count for less: among those on warm keys are some whose
-        key was displaced meanwhile.
+        Slow answers have less weight: keys that are assumed to be warm may have
+        been evicted in the meantime.
         """
         share = _DOWN_SHARE if seconds < self.seconds else _UP_SHARE
         self.seconds += share * (max(seconds, 0.001) - self.seconds)
--- a/src/wardstair/decisions/sentinels.py
+++ b/src/wardstair/decisions/sentinels.py
@@ -1,7 +1,7 @@
-"""Which entry hosts watch the store closely for all the others.
+"""Choice of the sentinels, the entry hosts that watch the store for the others.
 
-Each call on the store is paid for, so a few hosts follow everything at short
-intervals and the rest learn from their heartbeats that something is new.
+Calls to the store are billed, so few hosts watch all objects at short
+intervals, and the other hosts learn of changes from their heartbeats.
 """
 
 from collections.abc import Iterable, Mapping
@@ -9,16 +9,16 @@
 
 from wardstair.decisions.membership import rendezvous
 
-# The second one covers the first while it fails unnoticed.
+# The second one covers the first until a failure of that is detected.
 SENTINELS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class SentinelCandidate:
-    """A host that could watch the store.
+    """A host that may become a sentinel.
 
     Attributes:
-        name: Its name.
+        name: Name of the host.
         zone: Its availability zone.
     """
 
@@ -30,12 +30,12 @@
     hosts: Iterable[SentinelCandidate],
     regions: Mapping[str, str],
 ) -> tuple[str, ...]:
-    """Choose the hosts that watch closely, the same on all that ask.
+    """Choose the sentinels, with the same result on every host.
 
     Args:
         hosts: Live hosts in contact with the store.
-        regions: Region of each zone; the chosen are of different regions if
-            there are several, since a region may be lost as a whole.
+        regions: Region of each zone. Sentinels are chosen from different
+            regions if there are several, since a whole region may be lost.
     """
     zones = {host.name: host.zone for host in hosts}
     ranked = rendezvous(zones, 'sentinel', len(zones))
--- a/src/wardstair/decisions/shares.py
+++ b/src/wardstair/decisions/shares.py
@@ -1,9 +1,9 @@
-"""Which host owns which tokens, and how ownership moves.
+"""Ownership of tokens by hosts, and its transfer.
 
-Ownership is one object a zone (or region) in the platform's store, changed
-by conditional update only. A host loses tokens in two ways: it gives them
-up itself, or its incarnation is proved dead. So a host that is cut off, slow
-or paused keeps what it owns, and nobody uses it meanwhile.
+The ownership of a zone (or region) is one object in the platform's store, which
+is changed by conditional updates only. A host loses tokens only if it gives
+them up itself or its incarnation is proved dead. A host that is cut off, slow
+or paused therefore keeps its tokens, and no other host uses them meanwhile.
 """
 
 from collections import Counter
@@ -18,7 +18,7 @@
     Attributes:
         owners: For each resource, the name of the owner of each token.
         incarnations: The registered incarnation of each host.
-        version: Version of the configuration whose capacities they fit.
+        version: Version of the configuration that defines the capacities.
     """
 
     owners: Mapping[str, tuple[str, ...]] = field(default_factory=dict)
@@ -35,7 +35,7 @@
 
 
 def register(shares: Shares, host: str, incarnation: str) -> Shares:
-    """Enter a new incarnation, which proves that the last one has ended."""
+    """Register a new incarnation, which proves that the previous one ended."""
     registered = {**shares.incarnations, host: incarnation}
     return replace(shares, incarnations=registered)
 
@@ -46,19 +46,19 @@
     hosts: Iterable[str],
     version: int,
 ) -> Shares:
-    """Fit the owners to the capacities of a configuration.
+    """Adapt the ownership to the capacities of a configuration.
 
-    Tokens that exist keep their owners; new ones go to the hosts that own
-    least. Nothing is dropped: tokens past a smaller size, and those of a
-    removed resource, stay with their owners unused. When they come back,
-    work from before may still run on them, and only the owner knows.
+    Existing tokens keep their owners; new ones are assigned to the hosts that
+    own the fewest. Tokens beyond a reduced capacity and those of a removed
+    resource stay with their owners, unused: if they are added again, earlier
+    work may still run on them, and only the owner knows that.
 
     Args:
-        shares: The owners so far.
+        shares: The current ownership.
         sizes: Capacity of each resource.
         hosts: Hosts that may own tokens.
-        version: Version of that configuration; an older one than the
-            shares were fitted to changes nothing.
+        version: Version of that configuration; if it is older than the one of
+            the shares, they are returned unchanged.
     """
     names = sorted(hosts)
     if not names or version < shares.version:
@@ -82,8 +82,8 @@
     here = Counter(owner for owner in kept if owner in load)
     tokens = list(kept)
     while len(tokens) < size:
-        # Least of this resource first, then least of all: 3 slots on 2
-        # hosts split 2 to 1, and the next such upstream 1 to 2.
+        # Compares the tokens of this resource, then those of all resources: 3
+        # slots on 2 hosts are split 2 to 1, and the next 3 slots 1 to 2.
         owner = _least(names, here, load)
         tokens.append(owner)
         here[owner] += 1
@@ -99,18 +99,18 @@
     shares: Shares,
     dead: str,
     incarnation: str,
-    heirs: Iterable[str],
+    receivers: Iterable[str],
 ) -> Shares:
-    """Give the tokens of a dead host to others.
+    """Reassign the tokens of a dead host to other hosts.
 
     Args:
-        shares: The owners so far.
-        dead: Name of the host.
+        shares: The current ownership.
+        dead: Name of the dead host.
         incarnation: The incarnation that is proved dead; if another one is
-            registered by now, nothing changes.
-        heirs: Live hosts, in any order.
+            registered, the shares are returned unchanged.
+        receivers: Live hosts, in any order.
     """
-    names = sorted(set(heirs) - {dead})
+    names = sorted(set(receivers) - {dead})
     if shares.incarnations.get(dead) != incarnation or not names:
         return shares
     load: Counter[str] = Counter(dict.fromkeys(names, 0))
@@ -119,7 +119,8 @@
     owners = {}
     for resource, kept in shares.owners.items():
         owners[resource] = tuple(
-            _heir(names, load) if owner == dead else owner for owner in kept
+            _next_owner(names, load) if owner == dead else owner
+            for owner in kept
         )
     incarnations = {
         host: registered
@@ -129,7 +130,7 @@
     return Shares(owners, incarnations, shares.version)
 
 
-def _heir(names: list[str], load: Counter[str]) -> str:
+def _next_owner(names: list[str], load: Counter[str]) -> str:
     owner = min(names, key=lambda name: (load[name], name))
     load[owner] += 1
     return owner
@@ -141,7 +142,7 @@
     receiver: str,
     tokens: Mapping[str, Iterable[int]],
 ) -> Shares:
-    """Give tokens that their owner has stopped using to another host."""
+    """Transfer tokens that their owner no longer uses to another host."""
     owners = dict(shares.owners)
     for resource, numbers in tokens.items():
         row = list(owners.get(resource, ()))
@@ -157,11 +158,11 @@
     giver: str,
     hosts: Iterable[str],
 ) -> tuple[str, int]:
-    """Find a host that owns least and how many tokens would even it out.
+    """Find the host that owns the fewest tokens and how many to give to it.
 
     Returns:
         The receiver and half of the difference in tokens; 0 if the giver
-        owns no more than others.
+        owns no more than the receiver.
     """
     load = Counter(dict.fromkeys(hosts, 0))
     for kept in shares.owners.values():
--- a/src/wardstair/decisions/shifts.py
+++ b/src/wardstair/decisions/shifts.py
@@ -1,8 +1,9 @@
-"""Pace of a shift: what share of look-ups names the target region.
+"""Ramp of a shift: the share of look-ups that name the target region.
 
-The cap itself is kept by tokens where the traffic arrives. The pace only
-keeps refusals rare: it follows what the target sees in flight, not what was
-sent, since cached answers move traffic a time to live and more later.
+The cap itself is enforced by tokens where the traffic arrives. The ramp only
+keeps refusals rare. It follows the requests in flight at the target rather than
+the answers sent, since cached answers move traffic only after their time to
+live.
 """
 
 from dataclasses import dataclass, replace
@@ -13,11 +14,11 @@
 LARGEST_STEP = 100
 NEAR_CAP = 0.8
 STALE_SECONDS = 15.0
-HEADROOM_LEAST = 0.1
+MIN_HEADROOM = 0.1
 
 
 class Movement(StrEnum):
-    """What the last decision did, for explanations."""
+    """Effect of the last decision, for explanations."""
 
     start = 'start'
     grow = 'grow'
@@ -28,13 +29,13 @@
 
 @dataclass(frozen=True)
 class ShiftRamp:
-    """The pace of one shift on one host.
+    """The ramp of one shift on one host.
 
     Attributes:
         per_mille: Callers out of a thousand whose look-ups name the target.
-        step: Next growth.
-        decided_at: Time of the last decision.
-        movement: What it did.
+        step: Next increase of `per_mille`.
+        decided_at: Time of the last decision in seconds.
+        movement: Effect of the last decision.
     """
 
     per_mille: int = 0
@@ -45,13 +46,13 @@
 
 @dataclass(frozen=True)
 class TargetView:
-    """The target as its zones report it.
+    """The target region as reported by its zones.
 
     Attributes:
         in_flight: Requests of the shift in flight there.
         slots: Slots of the workload there.
         free: Free slots there.
-        age: Age in seconds of the oldest report that counts.
+        age: Age in seconds of the oldest report used.
     """
 
     in_flight: int
@@ -61,44 +62,45 @@
 
 
 def next_ramp(
-    pace: ShiftRamp,
+    ramp: ShiftRamp,
     target: TargetView,
     cap: int,
     settle_seconds: float,
     now: float,
 ) -> ShiftRamp:
-    """Decide the pace anew, at most once in the time an answer is cached.
+    """Return the next ramp, which changes at most once in the settling time.
 
     Args:
-        pace: The pace so far.
-        target: What the target's zones report.
-        cap: Most requests in flight.
-        settle_seconds: Time until a change of answers shows in full.
-        now: Time now.
+        ramp: The current ramp.
+        target: The reports of the target's zones.
+        cap: Maximum number of requests in flight.
+        settle_seconds: Time until a change of answers takes full effect.
+        now: Current time in seconds.
     """
-    if now - pace.decided_at < settle_seconds:
-        return pace
-    decided = replace(pace, decided_at=now)
+    if now - ramp.decided_at < settle_seconds:
+        return ramp
+    decided = replace(ramp, decided_at=now)
     if target.age > STALE_SECONDS or cap == 0:
         return replace(
             decided,
-            per_mille=pace.per_mille // 2,
+            per_mille=ramp.per_mille // 2,
             step=FIRST_STEP,
             movement=Movement.give_back,
         )
-    if target.free < target.slots * HEADROOM_LEAST or target.in_flight >= cap:
+    if target.free < target.slots * MIN_HEADROOM or target.in_flight >= cap:
         return replace(
             decided,
-            per_mille=pace.per_mille * 3 // 4,
+            per_mille=ramp.per_mille * 3 // 4,
             step=FIRST_STEP,
             movement=Movement.shrink,
         )
     if target.in_flight >= cap * NEAR_CAP:
         return replace(decided, movement=Movement.hold)
-    # Caches and upstreams there are cold at first: small steps that double.
+    # Caches and upstreams at the target are cold at first, so the steps start
+    # small and double.
     return replace(
         decided,
-        per_mille=min(pace.per_mille + pace.step, PER_MILLE),
-        step=min(pace.step * 2, LARGEST_STEP),
+        per_mille=min(ramp.per_mille + ramp.step, PER_MILLE),
+        step=min(ramp.step * 2, LARGEST_STEP),
         movement=Movement.grow,
     )
--- a/src/wardstair/decisions/split.py
+++ b/src/wardstair/decisions/split.py
@@ -1,7 +1,7 @@
-"""Division of a route's requests among services by weight.
+"""Split of a route's requests among services by weight.
 
-A key stays with one service as long as the parts allow it, since its
-upstreams remember the key. The parts actually sent correct the choice.
+A key stays with one service while the weights allow it, since it is warm at the
+upstreams of that service. The parts actually sent correct the choice.
 """
 
 from collections.abc import Sequence
@@ -9,17 +9,19 @@
 
 from wardstair.decisions.ranking import unit_hash
 
-# How far a part may be ahead of its weight or behind it before keys give way.
-# The operators' tolerance is about a tenth; half of it is left to the fleet.
-# Of three parts one lagged by 0.06 while only those ahead were held to it.
+# How far the sent part of a service may deviate from its weight in either
+# direction before keys are sent to another service. Operators tolerate about a
+# tenth for the fleet, of which a host uses less than half. The limit applies
+# in both directions: when it applied only to parts above their weight, one of
+# three services fell behind by 0.06.
 TOLERANCE = 0.03
-# Requests after which older ones count half.
+# Number of requests after which the weight of older ones is halved.
 HALF_LIFE = 400
 
 
 @dataclass(slots=True)
 class SplitTally:
-    """What one host has sent of one split route."""
+    """Requests of one split route that one host has sent, by service."""
 
     sent: dict[str, float] = field(default_factory=dict)
     total: float = 0.0
@@ -28,7 +30,7 @@
         """Choose a service and count the request.
 
         Args:
-            key: What the request concerns.
+            key: Affinity key of the request.
             shares: Services with positive weights.
         """
         weight_sum = sum(weight for _, weight in shares)
--- a/src/wardstair/decisions/state_age.py
+++ b/src/wardstair/decisions/state_age.py
@@ -1,10 +1,10 @@
-"""Up to which moment the state of a host is complete, and when that is too old.
+"""Age of a host's state, and the age from which the host queries the store.
 
-News reaches a host by a chain of others, and a chain that is broken looks like
-a calm day. So each host keeps the moment up to which it knows all that the
-store had acknowledged, whatever way it came, and asks the store itself once
-that is too long ago. Only lengths of time travel between hosts: their clocks
-are never compared.
+State updates reach a host through other hosts, and a broken propagation path
+looks the same as a time without changes. Each host therefore keeps the moment
+up to which it knows all changes that the store had acknowledged, and queries
+the store itself once that moment is too long ago. Hosts exchange durations
+only, so their clocks are never compared.
 """
 
 from dataclasses import dataclass
@@ -12,30 +12,33 @@
 from wardstair.decisions.ranking import unit_hash
 from wardstair.decisions.timing import NEAR_SECONDS, ROUND_TRIP_SECONDS
 
-# Parts of the bound on news after which a host asks the store itself. Hosts
-# that tell others ask first, so that one call serves their zone; the others
-# follow spread over a while, as all grow old together where nobody tells.
-TELLER_SHARE = 0.47
+# Shares of the bound on updates after which a host queries the store itself.
+# Hosts that report to others query first, so that one call serves their zone.
+# The queries of the other hosts are spread over time, because their states all
+# reach the same age together when no host reports.
+REPORTER_SHARE = 0.47
 OTHER_SHARE = 0.53
 SPREAD_SHARE = 0.07
-# How often a host looks at the age.
-LOOK_SHARE = 0.05
+# Interval at which a host checks the age, as a share of the bound on updates.
+POLL_SHARE = 0.05
 
 
-# Hosts that an age may pass through, each of which takes ways that were longer
-# than assumed for age: handed round without end it would not grow at all.
+# Maximum number of hosts that a reported age may pass through. A datagram that
+# takes longer than assumed makes the age too low at each hop, so an age that
+# was passed on without limit might never grow.
 MAX_HOPS = 2
-# A question that is not answered is asked once more beside the first.
-MOST_ASKING = 2
+# An unanswered query is repeated once while the first one continues.
+MAX_OPEN_QUERIES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedAge:
-    """The age of a host's state, as it tells others.
+    """The age of a host's state, as reported to other hosts.
 
     Attributes:
-        seconds: The age.
-        hops: Hosts that it has passed through since one read the store.
+        seconds: The age in seconds.
+        hops: Number of hosts that it has passed through since the store was
+            read.
     """
 
     seconds: float
@@ -44,13 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RefreshTimes:
-    """When a host asks the store, in seconds.
+    """When a host queries the store, in seconds.
 
     Attributes:
-        poll_interval: Period of its looks at the age of its state.
-        reporter_query_age: Age from which on it asks if it tells others.
-        other_query_age: The same if it does not.
-        retry_seconds: Time after which it asks once more without an answer.
+        poll_interval: Interval at which the host checks the age of its state.
+        reporter_query_age: Age from which a host that reports to others
+            queries the store.
+        other_query_age: The same for other hosts.
+        retry_seconds: Time after which an unanswered query is repeated.
     """
 
     poll_interval: float
@@ -64,10 +68,10 @@
     """An answer of the store.
 
     Attributes:
-        asked_at: Monotonic time in seconds when it was asked.
-        waited: Longest wait that it was asked for, in seconds; 0 for none.
-        answered_at: Monotonic time in seconds of the answer.
-        is_empty: Whether it tells of no change.
+        asked_at: Monotonic time of the query in seconds.
+        waited: Maximum wait given in the query, in seconds; 0 for none.
+        answered_at: Monotonic time of the answer in seconds.
+        is_empty: Whether the answer contains no change.
     """
 
     asked_at: float
@@ -79,8 +83,9 @@
 def complete_at(reading: Reading) -> float:
     """Return the moment up to which an answer is complete.
 
-    It counts from the question, so that a slow answer does not pass for a new
-    one. A store that has waited to the end has answered after that.
+    This is the time of the query, so that a slow answer does not count as a
+    recent one. If the store has waited for the whole wait without a change, it
+    is the end of the wait.
 
     Args:
         reading: The answer.
@@ -95,7 +100,7 @@
 
 
 def transit_seconds(*, is_near: bool) -> float:
-    """Return how long a datagram may have been on its way.
+    """Return how long a datagram may have been in transit, in seconds.
 
     Args:
         is_near: Whether its sender is in the same availability zone.
@@ -104,42 +109,42 @@
 
 
 def refresh_times(
-    news_seconds: float,
+    update_bound_seconds: float,
     name: str,
     retry_seconds: float,
 ) -> RefreshTimes:
-    """Return when a host asks the store.
+    """Return when a host queries the store.
 
     Args:
-        news_seconds: The tightest bound on news.
+        update_bound_seconds: The tightest bound on updates.
         name: Name of the host.
         retry_seconds: Seconds after which an answer of the store is late.
     """
     share = OTHER_SHARE + SPREAD_SHARE * unit_hash(f'state age {name}')
     return RefreshTimes(
-        news_seconds * LOOK_SHARE,
-        news_seconds * TELLER_SHARE,
-        news_seconds * share,
+        update_bound_seconds * POLL_SHARE,
+        update_bound_seconds * REPORTER_SHARE,
+        update_bound_seconds * share,
         retry_seconds,
     )
 
 
 def query_age(times: RefreshTimes, *, is_reporter: bool) -> float:
-    """Return the age of its state, in seconds, from which on a host asks.
+    """Return the state age, in seconds, from which a host queries the store.
 
     Args:
-        times: When it asks.
-        is_reporter: Whether it speaks for its zone.
+        times: The query times of the host.
+        is_reporter: Whether the host reports to others.
     """
     return times.reporter_query_age if is_reporter else times.other_query_age
 
 
-def may_query(asking: int, since: float, retry_seconds: float) -> bool:
-    """Return whether a host whose state is old asks the store now.
+def may_query(open_queries: int, since: float, retry_seconds: float) -> bool:
+    """Return whether a host whose state is old queries the store now.
 
     Args:
-        asking: Questions that are not answered yet.
-        since: Seconds since the last question.
+        open_queries: Number of queries without an answer.
+        since: Seconds since the last query.
         retry_seconds: Seconds after which an answer is late.
     """
-    return asking < MOST_ASKING and since >= retry_seconds
+    return open_queries < MAX_OPEN_QUERIES and since >= retry_seconds
--- a/src/wardstair/decisions/suspicion.py
+++ b/src/wardstair/decisions/suspicion.py
@@ -1,43 +1,45 @@
-"""Which requests end the upstreams that run them, judged from what is proved.
+"""Identifies requests that terminate the upstreams that run them.
 
-Evidence is a set of lives of upstreams a request, so that hosts may tell it in
-any order and more than once: merging is a union.
+The evidence for a request is a set of upstream incarnations. Merging evidence
+is a union, so hosts may report it in any order and repeatedly.
 
-An upstream runs several requests at once, and all of them are broken off when
-it ends. What clears the innocent:
+An upstream runs several requests concurrently, and all of them are aborted when
+it exits. Two rules exonerate the requests that did not cause the exit:
 
-- an answer: whoever is answered does not end each upstream that runs it;
-- a better explanation: a life that a request with more of them ended is not
-  counted against those that were beside it.
+- An answer shows that the request does not terminate every upstream that runs
+  it.
+- If another request was present at more exits, it explains an exit better: the
+  exit does not count against the requests that ran at the same time.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-# Ended upstreams from which a request is held. In 60 drawn series each (24
-# upstreams, 330 requests a second beside a harmful one, popular ones among
-# them) it ends 5 upstreams, without the decision 20 to 28 in six seconds.
-# Wrongly held were none of 119,043 requests, and 3 of 118,865 where keys have
-# homes; of these 29 without explained ends, 5 without answers that clear, 69
-# without either.
+# Number of exits from which a request is held. In simulations with this value
+# (see test_suspicion_load), a harmful request terminates 5 upstreams, compared
+# with 20 to 28 in six seconds if it is not held. At most 3 of about 119,000
+# other requests were held wrongly; without the rule on explained exits it was
+# 29, without the rule on answers 5, and without both 69.
 HOLD_THRESHOLD = 3
-# With this many, a request is not sent on or hedged within a try any more.
+# Number of exits from which a request is no longer resent or hedged within a
+# try.
 SUSPECT_THRESHOLD = 2
-# Answers of other upstreams that count against ended ones, one each. More would
-# let the answers to one caller excuse what another one's same bytes do.
-MOST_ANSWERS = 6
+# Maximum number of answers from other upstreams, each of which raises the
+# number of exits needed to hold the request by one. With more, the answers to
+# one caller could exonerate the same bytes when they do harm for another.
+MAX_COUNTED_ANSWERS = 6
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What is proved of one request.
+    """Evidence on one request.
 
     Attributes:
-        ended: Lives of upstreams that ended while they had it, with the time
-            of day of that, Unix seconds.
-        answered: Lives of upstreams that answered it.
-        lifted_at: Time of day up to which an operator has set it aside, Unix
-            seconds; 0 for never.
+        ended: Upstream incarnations that exited while they ran the request,
+            with the wall clock time of the exit in Unix seconds.
+        answered: Upstream incarnations that answered the request.
+        lifted_at: Wall clock time, in Unix seconds, up to which an operator has
+            dismissed the evidence; 0 for never.
     """
 
     ended: Mapping[str, int] = field(default_factory=dict)
@@ -46,31 +48,34 @@
 
     @property
     def counted(self) -> frozenset[str]:
-        """Lives that count: not set aside, and not of who answered it too."""
-        lives = {life for life, at in self.ended.items() if at > self.lifted_at}
-        return frozenset(lives - self.answered)
+        """Exited incarnations that are neither dismissed nor have answered."""
+        counted = {
+            name for name, at in self.ended.items() if at > self.lifted_at
+        }
+        return frozenset(counted - self.answered)
 
     @property
     def needed(self) -> int:
-        """Lives from which the request is held."""
+        """Number of exited incarnations from which the request is held."""
         others = self.answered - self.ended.keys()
-        return HOLD_THRESHOLD + min(len(others), MOST_ANSWERS)
+        return HOLD_THRESHOLD + min(len(others), MAX_COUNTED_ANSWERS)
 
     @property
     def last_at(self) -> int:
-        """Time of day of its newest part, Unix seconds."""
+        """Wall clock time of the newest part, in Unix seconds."""
         return max((*self.ended.values(), self.lifted_at))
 
 
 def merge(one: Evidence, other: Evidence) -> Evidence:
-    """Return what both tell together.
+    """Merge the evidence of two hosts on one request.
 
-    A life ends once: of two times told of its end the earlier one holds, so
-    that a clock that is ahead does not renew it each time it is told.
+    An incarnation exits only once. If the reported times of its exit differ,
+    the earlier one is kept, so that a clock that is ahead does not renew the
+    evidence with each report.
     """
     ended = dict(one.ended)
-    for life, at in other.ended.items():
-        ended[life] = min(at, ended.get(life, at))
+    for incarnation, at in other.ended.items():
+        ended[incarnation] = min(at, ended.get(incarnation, at))
     return Evidence(
         ended,
         one.answered | other.answered,
@@ -85,17 +90,19 @@
         records: Evidence by request.
     """
     held = set()
-    # The most lives of a held request that each life belongs to.
+    # For each incarnation, the largest number of exits counted against a held
+    # request that was present at its exit.
     explained: dict[str, int] = {}
     for name in _most_first(records):
-        lives = records[name].counted
-        # As many lives as the other explain as well: both are held.
-        own = [life for life in lives if explained.get(life, 0) <= len(lives)]
+        counted = records[name].counted
+        # Requests with equally many exits explain them equally well: both are
+        # held.
+        own = [one for one in counted if explained.get(one, 0) <= len(counted)]
         if len(own) < records[name].needed:
             continue
         held.add(name)
-        for life in lives:
-            explained[life] = max(explained.get(life, 0), len(lives))
+        for one in counted:
+            explained[one] = max(explained.get(one, 0), len(counted))
     return frozenset(held)
 
 
--- a/src/wardstair/decisions/timing.py
+++ b/src/wardstair/decisions/timing.py
@@ -1,86 +1,92 @@
-"""How often a host looks at the store and at others, from the bounds.
+"""Periods at which a host polls the store and other hosts, from the bounds.
 
-News reaches every host by a chain: a watch of the store is answered, datagrams
-tell of it, and a host that misses one fetches what it lacks. Each link has a
-longest time in which its own failure is noticed and made good; the links of
-each chain add up to `KEPT_SHARE` of the tightest bound on news.
+An update reaches every host on a propagation path: a watch of the store is
+answered, datagrams announce the change, and a host that misses one fetches what
+it lacks. Each stage of a path has a maximum time, including detection and
+recovery of its own failure. The stages of each path add up to at most
+`MAX_BOUND_SHARE` of the tightest bound on updates.
 """
 
 from dataclasses import dataclass
 from functools import lru_cache
 
-# Part of a bound that a chain takes at most. The rest is for what no chain
-# foresees.
+# Maximum share of a bound that a propagation path may take. The rest covers
+# delays that no path includes.
 MAX_BOUND_SHARE = 0.8
-# Round trip between the regions that are furthest apart.
+# Round trip between the most distant regions.
 ROUND_TRIP_SECONDS = 0.12
-# A way within a zone, and a fetch on it.
+# Transit time of a datagram within a zone, and duration of a fetch there.
 NEAR_SECONDS = 0.01
 NEAR_FETCH_SECONDS = 0.02
-# Parts of the bound. A store that is well answers within the slack; one that
-# is slower widens it. Less than the least would take its usual answers for
-# silence.
-SLACK_SHARE = 0.1
-LEAST_SLACK_SECONDS = 0.15
-# A datagram is sent again after this, whether or not it was lost.
+
+# The shares from here to `SENTINEL_SILENCE_SHARE` are of the bound on updates.
+
+# Tolerance for late answers of a watch. A healthy store answers within it, and
+# it grows with a slower store. With a tolerance below the minimum, usual
+# answers would count as missing.
+TOLERANCE_SHARE = 0.1
+MIN_TOLERANCE_SECONDS = 0.15
+# Delay after which a datagram is sent again, whether or not it was lost.
 REPEAT_SHARE = 0.03
-# How often a host looks whether its roles have changed.
+# Interval at which a host checks whether its roles have changed.
 ROLE_SHARE = 0.03
-# How long one host is waited for before another is asked as well.
+# Wait for the answer of one host before another one is queried as well.
 NEAR_HEDGE_SHARE = 0.04
 FAR_HEDGE_SHARE = 0.12
-# Timers that go off late, and work.
+# Late timers and processing.
 WORK_SHARE = 0.03
-# A configuration is larger than other news.
+# Time for the larger size of a configuration, compared with other updates.
 BODY_SHARE = 0.02
-# Sentinels send heartbeats more often than others, so that one heartbeat may
-# be lost without their being replaced.
-SENTINEL_BEAT_SHARE = 0.15
+# Sentinels send heartbeats more often than other hosts, so that a sentinel is
+# not replaced because of one lost heartbeat.
+SENTINEL_HEARTBEAT_SHARE = 0.15
 SENTINEL_SILENCE_SHARE = 0.34
-# Changes of upstreams that are close together cost one call. Of what a bound
-# leaves beside the way of news.
-PAUSE_SHARE = 0.3
-UNPAUSED_SECONDS = 1.0
-# Shorter watches are a load on the store rather than a gain.
-LEAST_WATCH_SECONDS = 0.25
-LEAST_PAUSE_SECONDS = 0.1
-# The second sentinel covers the first while it fails unnoticed, which is a
-# failure of its own: its clock may be slower.
+# Changes of upstreams in quick succession are fetched with one call. The delay
+# is a share of the bound less the time that propagation takes.
+COALESCING_SHARE = 0.3
+PROPAGATION_SECONDS = 1.0
+# Shorter watches would load the store without benefit.
+MIN_WATCH_SECONDS = 0.25
+MIN_COALESCING_SECONDS = 0.1
+# The second sentinel covers the first until a failure of that is detected.
+# Since this case already includes one failure, its watches may be longer.
 SECOND_WATCH_FACTOR = 2.0
-# A relay that fails leaves its zone to the second one; if both fail, the zone
-# hears nothing until it is replaced.
-REPLACED_SHARE = 0.64
-# Callers gain by early news also where no bound asks for it: an upstream that
-# is gone costs a failed connection for each request that is sent to it.
-MOST_WATCH_SECONDS = 2.0
-MOST_PAUSE_SECONDS = 1.0
-# One heartbeat of a second, with its jitter, may be lost. A needless
-# replacement costs calls on the store; leaving a live host out of look-ups
-# would cost more, so these wait longer.
+# Silence after which a relay is replaced, as a share of the bound on updates.
+# If one relay fails, the second one serves the zone; if both fail, the zone
+# gets no updates until a relay is replaced.
+RELAY_TIMEOUT_SHARE = 0.64
+# Early updates help callers even if the bounds are wide: every request that is
+# sent to a removed upstream costs a failed connection.
+MAX_WATCH_SECONDS = 2.0
+MAX_COALESCING_SECONDS = 1.0
+# One heartbeat, with a period of 1 s plus jitter, may be lost. A needless
+# replacement of a relay costs calls to the store. Excluding a live host from
+# look-ups would cost more, so look-ups use a longer timeout.
 MIN_RELAY_TIMEOUT_SECONDS = 1.6
 MAX_RELAY_TIMEOUT_SECONDS = 3.0
-# Time after its start that a host takes to hear the others: until then it sends
-# nothing to cold upstreams, is no relay beside hosts that have a configuration,
-# and does not register in the store. Seeds may load for longer than others:
-# without the wait 63 of 65 hosts that started together took themselves for
-# alone and registered, and 69 objects were written anew.
+# Time after its start for which a host waits for heartbeats of the others.
+# Until then it sends nothing to cold upstreams, does not become a relay if
+# other hosts have a configuration, and does not register in the store. Seed
+# hosts may take longer to load than others: without the wait, 63 of 65 hosts
+# that started together found no other host and registered, and 69 objects were
+# rewritten.
 SETTLE_SECONDS = 2.5
-# Contact is proved twice within the time after which a host is held to the
-# bounds again, and by a host that is no relay once in twice that time: for it
-# only whether it could become one depends on it.
-PROOF_SHARE = 0.5
-RARE_PROOF_SHARE = 2.0
-# Longer would hide an outage from the metrics.
-MOST_PROOF_SECONDS = 5.0
+# Relays check their contact with the store twice within the contact time after
+# which the bounds apply again. Other hosts check it once in twice that time,
+# since only their eligibility as a relay depends on it.
+CONTACT_CHECK_SHARE = 0.5
+RARE_CONTACT_CHECK_SHARE = 2.0
+# A longer interval would hide an outage from the metrics.
+MAX_CONTACT_CHECK_SECONDS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class PathStage:
-    """A part of the way of news.
+    """A stage of a propagation path.
 
     Attributes:
-        name: What happens in it.
-        seconds: The longest time that it takes, its own failure included.
+        name: Short description of the stage.
+        seconds: Its maximum duration, including its own failure.
     """
 
     name: str
@@ -92,22 +98,22 @@
     """Periods of one host, in seconds.
 
     Attributes:
-        watch: Longest wait of the watch that the first sentinel uses as its
-            clock.
-        second_watch: The same of the second sentinel.
+        watch: Maximum wait of the periodic watch of the first sentinel.
+        second_watch: The same for the second sentinel.
         watch_tolerance: Minimum time past the requested wait after which an
             unanswered watch is treated as broken.
-        coalescing_delay: Wait for further changes of upstreams after one.
-        repeat_delay: Time after which news is told again.
-        role_poll_interval: Period of a host's looks at what its roles are.
-        near_hedge: Wait for a host of the own zone before another is asked.
+        coalescing_delay: Wait for further changes after a change of upstreams.
+        repeat_delay: Time after which an update is sent again.
+        role_poll_interval: Interval at which a host checks its roles.
+        near_hedge: Wait for a host of the same zone before another one is
+            queried.
         far_hedge: The same for a host of another zone.
-        sentinel_heartbeat: Period of the heartbeats of a sentinel.
+        sentinel_heartbeat: Heartbeat period of a sentinel.
         sentinel_silence: Silence after which a sentinel is replaced.
         relay_timeout: Silence after which a relay is replaced.
         contact_check_interval: Period at which a relay checks that it is in
             contact with the store.
-        rare_contact_check_interval: The same of another host.
+        rare_contact_check_interval: The same for other hosts.
     """
 
     watch: float
@@ -125,146 +131,155 @@
     rare_contact_check_interval: float
 
 
-# Asked for at each look, some ten times a second.
+# Called about ten times per second.
 @lru_cache(maxsize=8)
-def timing_for(news_seconds: float, contact_seconds: float) -> Timing:
+def timing_for(update_bound_seconds: float, contact_seconds: float) -> Timing:
     """Return the periods that keep the bounds.
 
     Args:
-        news_seconds: The tightest bound on news, in seconds: that a
-            configuration is in force, that a leaving upstream or a zone that
-            is emptied gets nothing more.
-        contact_seconds: Undisturbed contact after which bounds hold.
+        update_bound_seconds: The tightest bound on updates in seconds: until a
+            configuration is in force, and until a leaving upstream or an
+            evacuated zone gets no more requests.
+        contact_seconds: Uninterrupted contact after which the bounds apply.
     """
-    replaced = max(MIN_RELAY_TIMEOUT_SECONDS, news_seconds * REPLACED_SHARE)
-    proof = min(contact_seconds * PROOF_SHARE, MOST_PROOF_SECONDS)
-    watch = _longest_watch(news_seconds)
+    relay_timeout = max(
+        MIN_RELAY_TIMEOUT_SECONDS, update_bound_seconds * RELAY_TIMEOUT_SHARE
+    )
+    contact_check = min(
+        contact_seconds * CONTACT_CHECK_SHARE, MAX_CONTACT_CHECK_SECONDS
+    )
+    watch = _longest_watch(update_bound_seconds)
     return Timing(
         watch=watch,
         second_watch=watch * SECOND_WATCH_FACTOR,
-        watch_tolerance=_slack(news_seconds),
-        coalescing_delay=_pause(news_seconds),
-        repeat_delay=news_seconds * REPEAT_SHARE,
-        role_poll_interval=news_seconds * ROLE_SHARE,
-        near_hedge=news_seconds * NEAR_HEDGE_SHARE,
-        far_hedge=news_seconds * FAR_HEDGE_SHARE,
-        sentinel_heartbeat=news_seconds * SENTINEL_BEAT_SHARE,
-        sentinel_silence=news_seconds * SENTINEL_SILENCE_SHARE,
-        relay_timeout=min(replaced, MAX_RELAY_TIMEOUT_SECONDS),
-        contact_check_interval=proof,
-        rare_contact_check_interval=proof / PROOF_SHARE * RARE_PROOF_SHARE,
+        watch_tolerance=_watch_tolerance(update_bound_seconds),
+        coalescing_delay=_coalescing_delay(update_bound_seconds),
+        repeat_delay=update_bound_seconds * REPEAT_SHARE,
+        role_poll_interval=update_bound_seconds * ROLE_SHARE,
+        near_hedge=update_bound_seconds * NEAR_HEDGE_SHARE,
+        far_hedge=update_bound_seconds * FAR_HEDGE_SHARE,
+        sentinel_heartbeat=update_bound_seconds * SENTINEL_HEARTBEAT_SHARE,
+        sentinel_silence=update_bound_seconds * SENTINEL_SILENCE_SHARE,
+        relay_timeout=min(relay_timeout, MAX_RELAY_TIMEOUT_SECONDS),
+        contact_check_interval=contact_check,
+        rare_contact_check_interval=contact_check
+        / CONTACT_CHECK_SHARE
+        * RARE_CONTACT_CHECK_SHARE,
     )
 
 
-def propagation_paths(news_seconds: float) -> dict[str, tuple[PathStage, ...]]:
-    """Return the ways by which news is known though one part of them fails.
+def propagation_paths(
+    update_bound_seconds: float,
+) -> dict[str, tuple[PathStage, ...]]:
+    """Return the propagation paths on which one part fails.
 
-    Each begins at the store's acknowledgement, or at the failure if that comes
-    later, and ends where no host acts on what was before. A request takes the
-    last link from its choice of an upstream to its arrival.
+    Each path begins with the store's acknowledgement, or with the failure if
+    that is later, and ends when no host acts on the previous state. The stage
+    `request in transit` lasts from the choice of an upstream for a request to
+    its arrival there.
 
     Args:
-        news_seconds: The tightest bound on news.
+        update_bound_seconds: The tightest bound on updates in seconds.
 
     Returns:
-        The links of each chain, by what fails in it.
+        The stages of each path, by the failure on it.
     """
-    watch = PathStage('clock waits', _longest_watch(news_seconds))
+    watch = PathStage('wait of the watch', _longest_watch(update_bound_seconds))
     return {
-        failure: (watch, *links)
-        for failure, links in _after_clock(news_seconds).items()
-    } | _without_clock(news_seconds)
-
-
-def _after_clock(news: float) -> dict[str, tuple[PathStage, ...]]:
-    """Return the chains that begin with the clock of a sentinel."""
-    doubt = PathStage('clock is late', _slack(news))
-    renewed = PathStage('new connection, answer', 2 * ROUND_TRIP_SECONDS)
-    role = PathStage('look at roles', news * ROLE_SHARE)
-    body = PathStage('size of a configuration', 2 * news * BODY_SHARE)
-    hedge = PathStage('a host does not answer', news * NEAR_HEDGE_SHARE)
+        failure: (watch, *stages)
+        for failure, stages in _paths_with_watch(update_bound_seconds).items()
+    } | _paths_without_watch(update_bound_seconds)
+
+
+def _paths_with_watch(bound: float) -> dict[str, tuple[PathStage, ...]]:
+    """Return the paths that begin with the periodic watch of a sentinel."""
+    late = PathStage('watch is late', _watch_tolerance(bound))
+    reconnected = PathStage('new connection and answer', 2 * ROUND_TRIP_SECONDS)
+    role = PathStage('check of roles', bound * ROLE_SHARE)
+    body = PathStage('transfer of a configuration', 2 * bound * BODY_SHARE)
+    hedge = PathStage('unanswered query', bound * NEAR_HEDGE_SHARE)
     near_fetch = PathStage('fetch in the zone', NEAR_FETCH_SECONDS)
     return {
-        'all watches fall silent': (doubt, renewed, *_told(news)),
-        'the ways of both sentinels fall silent': (
-            doubt,
-            *_told_far(news),
+        'all watches fail silently': (late, reconnected, *_sent(bound)),
+        'the connections of both sentinels fail silently': (
+            late,
+            *_sent_far(bound),
             role,
-            renewed,
-            *_told(news),
+            reconnected,
+            *_sent(bound),
         ),
-        'all watches of a configuration fall silent': (
-            doubt,
-            *_told_far(news),
-            renewed,
+        'all watches of a configuration fail silently': (
+            late,
+            *_sent_far(bound),
+            reconnected,
             body,
-            PathStage('heartbeat in the zone, lost once', news * REPEAT_SHARE),
+            PathStage('heartbeat in the zone, lost once', bound * REPEAT_SHARE),
             hedge,
             near_fetch,
-            PathStage('work', news * WORK_SHARE),
+            PathStage('processing', bound * WORK_SHARE),
         ),
     }
 
 
-def _without_clock(news: float) -> dict[str, tuple[PathStage, ...]]:
-    joined = PathStage('changes are joined', _pause(news))
+def _paths_without_watch(bound: float) -> dict[str, tuple[PathStage, ...]]:
+    coalesced = PathStage('changes are coalesced', _coalescing_delay(bound))
     return {
-        'both sentinels stand still': (
-            PathStage('sentinels are silent', news * SENTINEL_SILENCE_SHARE),
-            PathStage('look at roles', news * ROLE_SHARE),
-            PathStage('new connection, answer', 2 * ROUND_TRIP_SECONDS),
-            *_told(news),
+        'both sentinels are paused': (
+            PathStage('sentinels are silent', bound * SENTINEL_SILENCE_SHARE),
+            PathStage('check of roles', bound * ROLE_SHARE),
+            PathStage('new connection and answer', 2 * ROUND_TRIP_SECONDS),
+            *_sent(bound),
         ),
         'a change right after another': (
-            joined,
+            coalesced,
             PathStage('answer', ROUND_TRIP_SECONDS),
-            *_told(news),
+            *_sent(bound),
         ),
         'datagrams are lost and a host does not answer': (
-            joined,
+            coalesced,
             PathStage('answer', ROUND_TRIP_SECONDS),
-            *_told_far(news),
-            PathStage('a host does not answer', news * FAR_HEDGE_SHARE),
+            *_sent_far(bound),
+            PathStage('unanswered query', bound * FAR_HEDGE_SHARE),
             PathStage('fetch', 2 * ROUND_TRIP_SECONDS),
-            *_told_near(news),
+            *_sent_near(bound),
         ),
     }
 
 
-def _told(news: float) -> tuple[PathStage, ...]:
-    return (*_told_far(news), *_told_near(news))
+def _sent(bound: float) -> tuple[PathStage, ...]:
+    return (*_sent_far(bound), *_sent_near(bound))
 
 
-def _told_far(news: float) -> tuple[PathStage, ...]:
+def _sent_far(bound: float) -> tuple[PathStage, ...]:
     return (
         PathStage('datagram to another region', ROUND_TRIP_SECONDS / 2),
-        PathStage('it is lost once', news * REPEAT_SHARE),
+        PathStage('resend of a lost datagram', bound * REPEAT_SHARE),
     )
 
 
-def _told_near(news: float) -> tuple[PathStage, ...]:
+def _sent_near(bound: float) -> tuple[PathStage, ...]:
     return (
         PathStage('datagram in the zone', NEAR_SECONDS),
-        PathStage('it is lost once', news * REPEAT_SHARE),
-        PathStage('work', news * WORK_SHARE),
-        PathStage('a request on its way', 1.5 * ROUND_TRIP_SECONDS),
+        PathStage('resend of a lost datagram', bound * REPEAT_SHARE),
+        PathStage('processing', bound * WORK_SHARE),
+        PathStage('request in transit', 1.5 * ROUND_TRIP_SECONDS),
     )
 
 
-def _slack(news: float) -> float:
-    return max(LEAST_SLACK_SECONDS, news * SLACK_SHARE)
+def _watch_tolerance(bound: float) -> float:
+    return max(MIN_TOLERANCE_SECONDS, bound * TOLERANCE_SHARE)
 
 
-def _pause(news: float) -> float:
-    share = (news - UNPAUSED_SECONDS) * PAUSE_SHARE
-    return min(max(share, LEAST_PAUSE_SECONDS), MOST_PAUSE_SECONDS)
+def _coalescing_delay(bound: float) -> float:
+    share = (bound - PROPAGATION_SECONDS) * COALESCING_SHARE
+    return min(max(share, MIN_COALESCING_SECONDS), MAX_COALESCING_SECONDS)
 
 
-def _longest_watch(news: float) -> float:
-    """Return what the chains leave for the wait of the first sentinel."""
+def _longest_watch(bound: float) -> float:
+    """Return the time that the paths leave for the first sentinel's watch."""
     taken = max(
-        sum(link.seconds for link in links)
-        for links in _after_clock(news).values()
+        sum(stage.seconds for stage in stages)
+        for stages in _paths_with_watch(bound).values()
     )
-    left = news * MAX_BOUND_SHARE - taken
-    return min(max(left, LEAST_WATCH_SECONDS), MOST_WATCH_SECONDS)
+    left = bound * MAX_BOUND_SHARE - taken
+    return min(max(left, MIN_WATCH_SECONDS), MAX_WATCH_SECONDS)
--- a/tests/unit/test_quota.py
+++ b/tests/unit/test_quota.py
@@ -35,7 +35,7 @@
 
 
 def check_limit(fleet: SimulatedFleet) -> None:
-    assert fleet.most_in_window() <= bound_of(fleet.quota).borne
+    assert fleet.most_in_window() <= bound_of(fleet.quota).max_per_window
 
 
 @pytest.mark.parametrize('quota', QUOTAS)
--- a/tests/unit/test_timing.py
+++ b/tests/unit/test_timing.py
@@ -37,11 +37,11 @@
         for links in propagation_paths(news).values()
         for link in links
     }
-    assert links['clock waits'] == timing.watch
-    assert links['clock is late'] == timing.watch_tolerance
-    assert links['changes are joined'] == timing.coalescing_delay
-    assert links['it is lost once'] == timing.repeat_delay
-    assert links['look at roles'] == timing.role_poll_interval
+    assert links['wait of the watch'] == timing.watch
+    assert links['watch is late'] == timing.watch_tolerance
+    assert links['changes are coalesced'] == timing.coalescing_delay
+    assert links['resend of a lost datagram'] == timing.repeat_delay
+    assert links['check of roles'] == timing.role_poll_interval
     assert links['sentinels are silent'] == timing.sentinel_silence
 
 
