--- a/src/wardstair/decisions/notices.py
+++ b/src/wardstair/decisions/notices.py
@@ -11,7 +11,7 @@
 # Share of the remaining pause that is added to the retry time sent to callers.
 RETURN_SPREAD = 0.25
 
-_One = TypeVar('_One')
+_Upstream = TypeVar('_Upstream')
 
 
 class Availability(StrEnum):
@@ -64,8 +64,8 @@
 
 
 def accepting_upstreams(
-    upstreams: Sequence[tuple[_One, Availability]],
-) -> list[_One]:
+    upstreams: Sequence[tuple[_Upstream, Availability]],
+) -> list[_Upstream]:
     """Return the upstreams that a request may be sent to, in the same order.
 
     Leaving upstreams are used only if no upstream is open.
@@ -74,7 +74,9 @@
         upstreams: Upstreams with the availability of each.
     """
     for wanted in (Availability.open, Availability.leaving):
-        found = [one for one, standing in upstreams if standing is wanted]
+        found = [
+            one for one, availability in upstreams if availability is wanted
+        ]
         if found:
             return found
     return []
--- a/src/wardstair/decisions/placement_policies.py
+++ b/src/wardstair/decisions/placement_policies.py
@@ -68,50 +68,52 @@
 def choose_by_policy(
     policy: PlacementPolicy,
     candidates: Sequence[Candidate],
-    ask: PlacementRequest,
+    request: PlacementRequest,
 ) -> Choice | None:
     """Choose an upstream by a policy; None if none has queue capacity.
 
     Args:
         policy: The policy.
         candidates: Upstreams that may serve the request, in rank order.
-        ask: The request.
+        request: The request.
     """
     match policy:
         case WarmPreferred():
-            return choose_by_cost(candidates, ask.work, ask.queue_share)
+            return choose_by_cost(candidates, request.work, request.queue_share)
         case LeastInFlight():
-            return _least_loaded(candidates, ask)
+            return _least_loaded(candidates, request)
         case EqualShares():
-            return _random_choice(candidates, ask)
+            return _random_choice(candidates, request)
 
 
 def _least_loaded(
     candidates: Sequence[Candidate],
-    ask: PlacementRequest,
+    request: PlacementRequest,
 ) -> Choice | None:
-    open_upstreams = _with_capacity(candidates, ask)
+    open_upstreams = _with_capacity(candidates, request)
     if not open_upstreams:
         return None
     best = min(open_upstreams, key=lambda one: (one.load / one.slots, one.rank))
-    return Choice(best, expected_seconds(best, ask.work))
+    return Choice(best, expected_seconds(best, request.work))
 
 
 def _random_choice(
     candidates: Sequence[Candidate],
-    ask: PlacementRequest,
+    request: PlacementRequest,
 ) -> Choice | None:
-    open_upstreams = _with_capacity(candidates, ask)
+    open_upstreams = _with_capacity(candidates, request)
     if not open_upstreams:
         return None
-    drawn = open_upstreams[int(ask.draw * len(open_upstreams))]
-    return Choice(drawn, expected_seconds(drawn, ask.work))
+    chosen = open_upstreams[int(request.draw * len(open_upstreams))]
+    return Choice(chosen, expected_seconds(chosen, request.work))
 
 
 def _with_capacity(
     candidates: Sequence[Candidate],
-    ask: PlacementRequest,
+    request: PlacementRequest,
 ) -> list[Candidate]:
     return [
-        one for one in candidates if has_queue_capacity(one, ask.queue_share)
+        one
+        for one in candidates
+        if has_queue_capacity(one, request.queue_share)
     ]
--- a/src/wardstair/decisions/quota.py
+++ b/src/wardstair/decisions/quota.py
@@ -21,7 +21,6 @@
 # host. Without the bound, callers who move to one host would look like a rise
 # on all hosts.
 MAX_GROWTH = 1.3
-# Buckets per window.
 BUCKETS_PER_WINDOW = 50
 
 
@@ -50,7 +49,7 @@
 
     @property
     def max_per_window(self) -> float:
-        """Maximum number of requests that may be admitted in a window."""
+        """Maximum number of requests that may run in a window."""
         return self.guaranteed * (1 + self.overshoot) + self.slack
 
     @property
@@ -88,7 +87,7 @@
     If total demand fits in the quota, every request is admitted. Otherwise
     hosts divide the quota in proportion to their demand. While the quota is
     used up, no host admits requests, since a host whose demand starts late
-    cannot tell which requests came before its own.
+    cannot determine which requests came before its own.
 
     Args:
         bound: The quota.
--- a/src/wardstair/decisions/relays.py
+++ b/src/wardstair/decisions/relays.py
@@ -17,11 +17,11 @@
 
     Attributes:
         name: Name of the host.
-        hears_store: Whether it is in contact with the platform's store.
+        has_store_contact: Whether it is in contact with the platform's store.
     """
 
     name: str
-    hears_store: bool
+    has_store_contact: bool
 
 
 def choose_relays(
@@ -38,7 +38,7 @@
         Names of the relays. Hosts in contact with the store are preferred,
         since a relay without contact has no updates that the zone lacks.
     """
-    hosts = {host.name: host.hears_store for host in candidates}
+    hosts = {host.name: host.has_store_contact for host in candidates}
     ranked = rendezvous(hosts, f'relay {zone}', len(hosts))
     ranked.sort(key=lambda name: not hosts[name])
     return tuple(ranked[:RELAYS_PER_ZONE])
--- a/src/wardstair/decisions/state_age.py
+++ b/src/wardstair/decisions/state_age.py
@@ -21,8 +21,6 @@
 SPREAD_SHARE = 0.07
 # Interval at which a host checks the age, as a share of the bound on updates.
 POLL_SHARE = 0.05
-
-
 # Maximum number of hosts that a reported age may pass through. A datagram that
 # takes longer than assumed makes the age too low at each hop, so an age that
 # was passed on without limit might never grow.
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -170,6 +170,6 @@
         Candidate(f'u{rank}', rank, 0.0, load, 4, is_warm=not rank)
         for rank, load in enumerate(loads)
     ]
-    ask = PlacementRequest(WORK, 2.0, draw)
-    choice = choose_by_policy(POLICIES[name], choices, ask)
+    request = PlacementRequest(WORK, 2.0, draw)
+    choice = choose_by_policy(POLICIES[name], choices, request)
     assert (choice and choice.candidate.name) == chosen
