--- a/src/wardstair/decisions/reachability.py
+++ b/src/wardstair/decisions/reachability.py
@@ -10,9 +10,10 @@
 
 # The group of all upstreams; other groups are those of a zone or a service.
 ALL = '*'
-# Number of different upstreams of a group that have to fail without an answer
-# in between. In a rollout two may fail without a fault: the one that has exited
-# and the next one.
+# Number of upstreams of a group that have to fail without an answer in between
+# before the group is lost. In a rollout two may fail without a network fault:
+# the one that has exited and the next one. Smaller groups need fewer failures,
+# but at least the minimum.
 MAX_FAILURES_NEEDED = 3
 MIN_FAILURES = 2
 # Time for which failures must continue without an answer in between before they
--- a/src/wardstair/decisions/split.py
+++ b/src/wardstair/decisions/split.py
@@ -11,7 +11,7 @@
 
 # How far the sent part of a service may deviate from its weight in either
 # direction before keys are sent to another service. Operators tolerate about a
-# tenth for the fleet, of which a host uses less than half. The limit applies
+# tenth, half of which is reserved for the fleet as a whole. The limit applies
 # in both directions: when it applied only to parts above their weight, one of
 # three services fell behind by 0.06.
 TOLERANCE = 0.03
