--- a/src/wardstair/decisions/peer_forwarding.py
+++ b/src/wardstair/decisions/peer_forwarding.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from wardstair.decisions.reach import ALL
+from wardstair.decisions.reachability import ALL
 
 # Peers that are drawn at random and compared by load. If all hosts compared
 # many peers, they would all choose the same peer.
--- a/src/wardstair/decisions/placement_policies.py
+++ b/src/wardstair/decisions/placement_policies.py
@@ -1,9 +1,9 @@
-"""Placement policies: by what rule an upstream is chosen for a request.
+"""Placement policies: rules by which an upstream is chosen for a request.
 
-Operators name one in the settings and may change it while requests run. To
-add one: a data class here, a case in `choose_by`, and its name in `POLICIES`.
-What stands outside a policy holds under each of them: allowed regions,
-evacuations, cold upstreams, attempts, budgets and room.
+Operators select a policy in the settings and may change it while requests run.
+To add one, add a data class here, a case in `choose_by_policy` and a name in
+`POLICIES`. The following apply under every policy: permitted regions,
+evacuations, cold upstreams, attempts, budgets and queue capacity.
 """
 
 from collections.abc import Mapping, Sequence
@@ -12,18 +12,19 @@
 from wardstair.decisions.placement import (
     Candidate,
     Choice,
-    choose_place,
+    choose_by_cost,
     expected_seconds,
-    has_queue_room,
+    has_queue_capacity,
 )
 
 
 @dataclass(frozen=True, slots=True)
-class WarmHome:
-    """The home of the key, which remembers it; others only with room to spare.
+class WarmPreferred:
+    """The key's preferred upstream; others only if they have spare slots.
 
     Attributes:
-        first_ranks: Ranks of the key that are looked at before all others.
+        first_ranks: Number of top-ranked upstreams that are considered before
+            all others.
     """
 
     first_ranks: int = 6
@@ -31,16 +32,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LeastInFlight:
-    """The upstream with the smallest part of its slots in use; a baseline."""
+    """The upstream with the lowest share of slots in use; a baseline."""
 
 
 @dataclass(frozen=True, slots=True)
 class EqualShares:
-    """Any upstream with room, drawn; a baseline that knows of no keys."""
+    """A random upstream with queue capacity; a baseline that ignores keys."""
 
 
-PlacementPolicy = WarmHome | LeastInFlight | EqualShares
-DEFAULT_POLICY = WarmHome()
+PlacementPolicy = WarmPreferred | LeastInFlight | EqualShares
+DEFAULT_POLICY = WarmPreferred()
 POLICIES: Mapping[str, PlacementPolicy] = {
     'warm-home': DEFAULT_POLICY,
     'least-in-flight': LeastInFlight(),
@@ -49,14 +50,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementAsk:
-    """What is known of the request beside the upstreams.
+class PlacementRequest:
+    """Parameters of the request to place.
 
     Attributes:
-        work: Usual seconds of work on a key that is warm.
+        work: Usual seconds of work on a warm key.
         queue_share: Requests above its slots that an upstream may have, as a
             share of the slots.
-        draw: A number from 0 up to 1, drawn for this request.
+        draw: Random number for this request, at least 0 and less than 1.
     """
 
     work: float
@@ -64,51 +65,55 @@
     draw: float = 0.0
 
 
-def choose_by(
+def choose_by_policy(
     policy: PlacementPolicy,
     candidates: Sequence[Candidate],
-    ask: PlacementAsk,
+    request: PlacementRequest,
 ) -> Choice | None:
-    """Choose an upstream by a policy; None if none has room.
+    """Choose an upstream by a policy; None if none has queue capacity.
 
     Args:
-        policy: The rule.
+        policy: The policy.
         candidates: Upstreams that may serve the request, in rank order.
-        ask: The request.
+        request: The request.
     """
     match policy:
-        case WarmHome():
-            return choose_place(candidates, ask.work, ask.queue_share)
+        case WarmPreferred():
+            return choose_by_cost(candidates, request.work, request.queue_share)
         case LeastInFlight():
-            return _emptiest(candidates, ask)
+            return _least_loaded(candidates, request)
         case EqualShares():
-            return _drawn(candidates, ask)
+            return _random_choice(candidates, request)
 
 
-def _emptiest(
+def _least_loaded(
     candidates: Sequence[Candidate],
-    ask: PlacementAsk,
+    request: PlacementRequest,
 ) -> Choice | None:
-    open_ones = _with_room(candidates, ask)
-    if not open_ones:
+    open_upstreams = _with_capacity(candidates, request)
+    if not open_upstreams:
         return None
-    best = min(open_ones, key=lambda one: (one.load / one.slots, one.rank))
-    return Choice(best, expected_seconds(best, ask.work))
+    best = min(open_upstreams, key=lambda one: (one.load / one.slots, one.rank))
+    return Choice(best, expected_seconds(best, request.work))
 
 
-def _drawn(
+def _random_choice(
     candidates: Sequence[Candidate],
-    ask: PlacementAsk,
+    request: PlacementRequest,
 ) -> Choice | None:
-    open_ones = _with_room(candidates, ask)
-    if not open_ones:
+    open_upstreams = _with_capacity(candidates, request)
+    if not open_upstreams:
         return None
-    drawn = open_ones[int(ask.draw * len(open_ones))]
-    return Choice(drawn, expected_seconds(drawn, ask.work))
+    chosen = open_upstreams[int(request.draw * len(open_upstreams))]
+    return Choice(chosen, expected_seconds(chosen, request.work))
 
 
-def _with_room(
+def _with_capacity(
     candidates: Sequence[Candidate],
-    ask: PlacementAsk,
+    request: PlacementRequest,
 ) -> list[Candidate]:
-    return [one for one in candidates if has_queue_room(one, ask.queue_share)]
+    return [
+        one
+        for one in candidates
+        if has_queue_capacity(one, request.queue_share)
+    ]
--- a/src/wardstair/gateway/choosing.py
+++ b/src/wardstair/gateway/choosing.py
@@ -9,10 +9,10 @@
 from wardstair.decisions.fleet_rate import LoadView
 from wardstair.decisions.mechanisms import Mechanism
 from wardstair.decisions.notices import (
-    Standing,
-    return_after,
+    Availability,
+    accepting_upstreams,
+    retry_after_seconds,
     shortest_pause,
-    willing,
 )
 from wardstair.decisions.placement import (
     Candidate,
@@ -20,13 +20,13 @@
     expected_seconds,
 )
 from wardstair.decisions.placement_policies import (
-    PlacementAsk,
     PlacementPolicy,
-    WarmHome,
-    choose_by,
+    PlacementRequest,
+    WarmPreferred,
+    choose_by_policy,
 )
 from wardstair.decisions.ranking import unit_hash
-from wardstair.decisions.route_work import RouteWork
+from wardstair.decisions.route_profile import RouteProfile
 from wardstair.gateway.cold_sends import ColdSends
 from wardstair.gateway.distances import Distances
 from wardstair.gateway.key_ranking import KeyRanking, RankingQuery, TransferSize
@@ -143,7 +143,7 @@
         )
         self.splitter = TrafficSplitter()
         self.assumed_cold = Counter[ColdReason]()
-        self._work: dict[str, RouteWork] = {}
+        self._work: dict[str, RouteProfile] = {}
 
     @property
     def _policy(self) -> PlacementPolicy:
@@ -153,12 +153,12 @@
         """Return the service for a request, by weight if the route is split."""
         return self.splitter.service_of(route, key)
 
-    def work_of(self, route: SteeredRoute) -> RouteWork:
+    def work_of(self, route: SteeredRoute) -> RouteProfile:
         """Return the usual work of a route."""
         known = self._work.get(route.name)
         if known is None:
             # Assume half of the objective until answers are measured.
-            known = RouteWork(route.objective / 2)
+            known = RouteProfile(route.objective / 2)
             self._work[route.name] = known
         return known
 
@@ -270,7 +270,7 @@
             if upstream.name not in query.tried
         ]
         match self._policy:
-            case WarmHome(first_ranks=first):
+            case WarmPreferred(first_ranks=first):
                 return [numbered[:first], numbered[first:]]
             case _:
                 return [numbered]
@@ -310,7 +310,7 @@
         notices = self._belief.notices
         ranked = self._key_ranking.ranked(self._ranking_query(query))
         return bool(ranked) and all(
-            notices.standing(one) is Standing.closed for one in ranked
+            notices.standing(one) is Availability.closed for one in ranked
         )
 
     def pause_wait(self, query: UpstreamQuery) -> float | None:
@@ -327,7 +327,7 @@
         left = shortest_pause(map(notices.notice_of, ranked), time.monotonic())
         if left is None:
             return None
-        return min(return_after(left), MOST_WAIT_SECONDS)
+        return min(retry_after_seconds(left), MOST_WAIT_SECONDS)
 
     def _ranking_query(self, query: UpstreamQuery) -> RankingQuery:
         name = query.route.name
@@ -344,7 +344,9 @@
         notices = self._belief.notices
         if notices.is_idle:
             return ranked
-        return willing([(one, notices.standing(one)) for one in ranked])
+        return accepting_upstreams(
+            [(one, notices.standing(one)) for one in ranked]
+        )
 
     def _transfer_size_of(self, query: UpstreamQuery) -> TransferSize:
         if query.is_large:
@@ -363,12 +365,12 @@
             self._candidate(position, upstream, query, now)
             for position, upstream in group
         ]
-        request = PlacementAsk(
+        request = PlacementRequest(
             self.work_of(query.route).seconds,
             query.queue_share,
             unit_hash(query.request_id),
         )
-        choice = choose_by(self._policy, candidates, request)
+        choice = choose_by_policy(self._policy, candidates, request)
         if choice is None:
             return None
         upstream = by_name[choice.candidate.name]
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -11,13 +11,13 @@
 
 from wardstair.decisions.answer_times import hedge_delay
 from wardstair.decisions.mechanisms import Mechanism
-from wardstair.decisions.notices import Standing
+from wardstair.decisions.notices import Availability
 from wardstair.decisions.permitted_regions import (
     NO_REGION,
     permitted_regions_for,
 )
 from wardstair.decisions.queueing import queue_share
-from wardstair.decisions.reach import ALL, service_group
+from wardstair.decisions.reachability import ALL, service_group
 from wardstair.decisions.resends import (
     ResendBudget,
     ResendLimit,
@@ -632,7 +632,7 @@
         if notices.is_idle:
             return
         standing = notices.standing(upstream)
-        if standing is not Standing.open:
+        if standing is not Availability.open:
             trigger = reason or FIRST_SEND
             self._reporter.sent_after_notice(
                 progress.history, upstream, standing, trigger
--- a/src/wardstair/gateway/key_ranking.py
+++ b/src/wardstair/gateway/key_ranking.py
@@ -14,9 +14,13 @@
     local_weight_factor,
 )
 from wardstair.decisions.mechanisms import Mechanism
-from wardstair.decisions.ranking import Nearness, Place, rank
-from wardstair.decisions.region_pace import odds_factor
-from wardstair.decisions.relief import STEP_SECONDS, Crowd, relieved
+from wardstair.decisions.ranking import ProximityFactors, WeightedUpstream, rank
+from wardstair.decisions.rebalancing import (
+    WEIGHT_STEP_SECONDS,
+    UpstreamUtilization,
+    rebalanced_weights,
+)
+from wardstair.decisions.region_moves import odds_factor
 from wardstair.gateway.moving import RegionMoves
 from wardstair.gateway.settings import LiveSettings
 from wardstair.process.log import log_event
@@ -49,12 +53,12 @@
     its region.
     """
 
-    light = Nearness(zone=1.6, region=1.5)
+    light = ProximityFactors(zone=1.6, region=1.5)
     # Bodies of a few kilobytes preferably stay in the zone.
-    heavy = Nearness(zone=2.4, region=1.0)
+    heavy = ProximityFactors(zone=2.4, region=1.0)
     # For an upload of tens of kilobytes the distance matters more than
     # spreading keys evenly.
-    large = Nearness(zone=6.0, region=4.0)
+    large = ProximityFactors(zone=6.0, region=4.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +94,7 @@
         self._belief = belief
         self._ranked: dict[RankingQuery, list[Upstream]] = {}
         self._proximity: dict[
-            tuple[str, frozenset[str], TransferSize], Nearness
+            tuple[str, frozenset[str], TransferSize], ProximityFactors
         ] = {}
         self._region_moves = RegionMoves()
         self._now = 0.0
@@ -122,10 +126,10 @@
         """
         self._now = now
         self._update_region_moves()
-        if now - self._rebalanced_at < STEP_SECONDS:
+        if now - self._rebalanced_at < WEIGHT_STEP_SECONDS:
             return
         self._rebalanced_at = now
-        if not self._settings.current.uses(Mechanism.relief):
+        if not self._settings.current.uses(Mechanism.rebalancing):
             return
         by_service: dict[str, list[Upstream]] = {}
         for upstream in self._belief.catalog.upstreams.values():
@@ -193,7 +197,7 @@
     def _own_region_share(
         self,
         upstreams: list[Upstream],
-        factors: Nearness,
+        factors: ProximityFactors,
     ) -> float:
         own = 0.0
         total = 0.0
@@ -217,9 +221,11 @@
 
     def _rebalance(self, upstreams: list[Upstream]) -> None:
         by_name = {upstream.name: upstream for upstream in upstreams}
-        changed = relieved(
+        changed = rebalanced_weights(
             [
-                Crowd(upstream.name, upstream.relief, upstream.crowding)
+                UpstreamUtilization(
+                    upstream.name, upstream.relief, upstream.crowding
+                )
                 for upstream in upstreams
             ]
         )
@@ -252,7 +258,9 @@
             factor = odds_factor(
                 self._own_region_share(upstreams, factors), offset
             )
-            factors = Nearness(factors.zone * factor, factors.region * factor)
+            factors = ProximityFactors(
+                factors.zone * factor, factors.region * factor
+            )
         by_name = {upstream.name: upstream for upstream in upstreams}
         return self._order(query.key, by_name, factors)
 
@@ -260,10 +268,10 @@
         self,
         key: str,
         by_name: dict[str, Upstream],
-        factors: Nearness,
+        factors: ProximityFactors,
     ) -> list[Upstream]:
         places = [
-            Place(
+            WeightedUpstream(
                 name,
                 upstream.entry.slots
                 * upstream.relief
@@ -290,10 +298,10 @@
         self,
         query: RankingQuery,
         upstreams: list[Upstream],
-    ) -> Nearness:
+    ) -> ProximityFactors:
         """Return the proximity factors for one kind of request."""
-        base: Nearness = query.transfer_size.value
-        uses = self._settings.current.uses(Mechanism.near_homes)
+        base: ProximityFactors = query.transfer_size.value
+        uses = self._settings.current.uses(Mechanism.near_preferred)
         if not uses or query.transfer_size is TransferSize.large:
             return base
         name = (query.service, query.regions, query.transfer_size)
@@ -306,13 +314,13 @@
             )
             factor *= self._zone_correction(base, upstreams)
             ratio = base.zone / base.region
-            known = Nearness(factor * ratio, factor)
+            known = ProximityFactors(factor * ratio, factor)
             self._proximity[name] = known
         return known
 
     def _zone_correction(
         self,
-        base: Nearness,
+        base: ProximityFactors,
         upstreams: list[Upstream],
     ) -> float:
         """Return the factor that keeps the total weight of the own region.
@@ -352,7 +360,9 @@
             for region, count in zones.items()
         }
 
-    def _proximity_factor(self, upstream: Upstream, factors: Nearness) -> float:
+    def _proximity_factor(
+        self, upstream: Upstream, factors: ProximityFactors
+    ) -> float:
         zone = upstream.entry.zone
         if zone == self._settings.current.zone:
             return factors.zone
--- a/src/wardstair/gateway/peer_forwarding.py
+++ b/src/wardstair/gateway/peer_forwarding.py
@@ -21,7 +21,7 @@
     PeerRequirements,
     choose_peer,
 )
-from wardstair.decisions.reach import ALL, service_group
+from wardstair.decisions.reachability import ALL, service_group
 from wardstair.fleet.members import Members
 from wardstair.fleet.relaying import (
     RelayedAnswer,
--- a/src/wardstair/gateway/reporting.py
+++ b/src/wardstair/gateway/reporting.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from wardstair.decisions.authorisation import ApiKeyFault
-from wardstair.decisions.notices import Standing
+from wardstair.decisions.notices import Availability
 from wardstair.decisions.ranking import unit_hash
 from wardstair.errors import RefusalKind
 from wardstair.gateway.choosing import Placement
@@ -214,7 +214,7 @@
         self,
         history: AttemptHistory,
         upstream: Upstream,
-        notice: Standing,
+        notice: Availability,
         trigger: str,
     ) -> None:
         """Report a send to an upstream that accepts no further requests.
--- a/src/wardstair/gateway/sending.py
+++ b/src/wardstair/gateway/sending.py
@@ -17,7 +17,7 @@
     RawAnswer,
     UpstreamConnection,
 )
-from wardstair.decisions.notices import Standing
+from wardstair.decisions.notices import Availability
 from wardstair.gateway.choosing import Placement
 from wardstair.gateway.distances import Distances
 from wardstair.gateway.messages import Inbound
@@ -37,7 +37,7 @@
 _MIN_EXPECTED_SECONDS = 0.05
 # How an exchange ends on a connection that the upstream has dropped.
 _STALE_CONNECTION_REASONS = frozenset((BreakReason.reset, BreakReason.closed))
-_UNAVAILABLE = frozenset((Standing.paused, Standing.closed))
+_UNAVAILABLE = frozenset((Availability.paused, Availability.closed))
 # Statuses by which an upstream may request a pause with Retry-After.
 _PAUSE_STATUSES = frozenset((429, 503))
 # Statuses from which a caller concludes that the request has not run.
--- a/src/wardstair/gateway/witness.py
+++ b/src/wardstair/gateway/witness.py
@@ -14,7 +14,7 @@
     UpstreamLocation,
     find_comparison_groups,
 )
-from wardstair.decisions.suspicion import SUSPECT_FROM
+from wardstair.decisions.suspicion import SUSPECT_THRESHOLD
 from wardstair.process.log import log_event, log_warning
 from wardstair.state.entries import UpstreamEntry
 from wardstair.state.suspects import SuspectTable
@@ -130,7 +130,7 @@
 
     def is_suspect(self, request: str) -> bool:
         """Return whether a request is to be sent once only, without a hedge."""
-        return self.count(request) >= SUSPECT_FROM
+        return self.count(request) >= SUSPECT_THRESHOLD
 
     def close(self) -> None:
         """End all tasks."""
--- a/tests/unit/test_key_ranking.py
+++ b/tests/unit/test_key_ranking.py
@@ -10,7 +10,7 @@
 from lib.upstreams import ENTRY, Clock
 
 from wardstair.decisions.mechanisms import Mechanism
-from wardstair.decisions.relief import STEP, STEP_SECONDS
+from wardstair.decisions.rebalancing import WEIGHT_STEP, WEIGHT_STEP_SECONDS
 from wardstair.gateway.key_ranking import (
     LOCAL_KEY_LIMITS,
     KeyRanking,
@@ -57,7 +57,7 @@
     def report_loads(self, load_of: Callable[[str], int], seconds: int) -> None:
         """Let all upstreams report their load every second for some seconds."""
         for _ in range(seconds):
-            self.clock.now += STEP_SECONDS
+            self.clock.now += WEIGHT_STEP_SECONDS
             for upstream in self.belief.catalog.upstreams.values():
                 upstream.note_load(load_of(upstream.name), self.clock.now)
             self.ranking.step(self.clock.now)
@@ -85,7 +85,7 @@
 
 
 def test_near_homes_raise_the_share_of_keys_kept_in_the_region() -> None:
-    plain = Fleet(Mechanism.near_homes).local_share()
+    plain = Fleet(Mechanism.near_preferred).local_share()
     assert plain < LOCAL_KEY_LIMITS.max_kept - 0.05
     assert Fleet().local_share() == pytest.approx(
         LOCAL_KEY_LIMITS.max_kept, abs=0.05
@@ -101,9 +101,9 @@
 
 @pytest.mark.parametrize('is_on', [True, False])
 def test_keys_move_only_off_the_overloaded_upstream(is_on: bool) -> None:
-    switched_off = [Mechanism.near_homes]
+    switched_off = [Mechanism.near_preferred]
     if not is_on:
-        switched_off.append(Mechanism.relief)
+        switched_off.append(Mechanism.rebalancing)
     fleet = Fleet(*switched_off)
     before = [fleet.ranked(key)[0] for key in KEYS]
     fleet.report_loads(lambda name: 12 if name == 'i-0' else 1, seconds=3)
@@ -111,7 +111,7 @@
     moved = {old for old, new in zip(before, after, strict=True) if old != new}
     assert moved == ({'i-0'} if is_on else set())
     weight = fleet.belief.catalog.upstreams['i-0'].relief
-    assert (weight < 1 - STEP) is is_on
+    assert (weight < 1 - WEIGHT_STEP) is is_on
 
 
 def test_only_permitted_regions_are_ranked() -> None:
@@ -124,7 +124,7 @@
 
 def test_large_bodies_are_ranked_without_near_homes() -> None:
     on = Fleet()
-    off = Fleet(Mechanism.near_homes)
+    off = Fleet(Mechanism.near_preferred)
     for key in KEYS[:50]:
         assert on.ranked(key, TransferSize.large) == off.ranked(
             key, TransferSize.large
@@ -134,11 +134,11 @@
 def test_changed_settings_apply_immediately() -> None:
     fleet = Fleet()
     near = [fleet.ranked(key) for key in KEYS]
-    off = frozenset((Mechanism.near_homes,))
+    off = frozenset((Mechanism.near_preferred,))
     fleet.live_settings.current = replace(
         fleet.live_settings.current, switched_off=off
     )
-    plain = Fleet(Mechanism.near_homes)
+    plain = Fleet(Mechanism.near_preferred)
     assert [fleet.ranked(key) for key in KEYS] != near
     assert fleet.local_share() == plain.local_share()
 
@@ -151,7 +151,7 @@
 
 def test_rebalancing_reduces_the_imbalance_of_hashing() -> None:
     """Compares the most keys on one upstream; the mean is 16."""
-    fleet = Fleet(Mechanism.near_homes)
+    fleet = Fleet(Mechanism.near_preferred)
     before = max_keys_per_upstream(fleet)
     for _ in range(40):
         counts = Counter(fleet.ranked(key)[0] for key in KEYS[:192])
--- a/tests/unit/test_region_moves.py
+++ b/tests/unit/test_region_moves.py
@@ -15,8 +15,8 @@
 from lib.specs import configuration_spec, route_spec
 from lib.upstreams import ENTRY, Clock
 
-from wardstair.decisions.region_pace import WINDOW_SECONDS
-from wardstair.decisions.relief import STEP_SECONDS
+from wardstair.decisions.rebalancing import WEIGHT_STEP_SECONDS
+from wardstair.decisions.region_moves import WINDOW_SECONDS
 from wardstair.decisions.split import SplitTally
 from wardstair.gateway.key_ranking import KeyRanking, RankingQuery, TransferSize
 from wardstair.gateway.moving import RegionMoves
@@ -137,7 +137,7 @@
 def overload_a_fifth(region: Region) -> None:
     """Report a fifth of the upstreams as overloaded for two steps."""
     for _ in range(2):
-        region.clock.now += STEP_SECONDS
+        region.clock.now += WEIGHT_STEP_SECONDS
         for n, one in enumerate(region.belief.catalog.upstreams.values()):
             load = one.entry.slots * (2 if n % 5 == 0 else 0.3)
             one.note_load(int(load), region.clock.now)
