--- a/src/wardstair/fleet/sharing.py
+++ b/src/wardstair/fleet/sharing.py
@@ -246,20 +246,20 @@
         [_entry_row(entry) for entry in changes.entries],
         list(changes.removed),
         {name: round(left, 3) for name, left in changes.missing.items()},
-        [_entry_row(entry) for entry in changes.doubted],
+        [_entry_row(entry) for entry in changes.stale],
     ]
 
 
 def _changes(row: list[Any]) -> CatalogChanges:
     since, revision, entries, *rest = row
-    removed, missing, doubted = rest
+    removed, missing, stale = rest
     return CatalogChanges(
         _revision(since),
         _revision(revision),
         tuple(_entry(entry) for entry in entries),
         tuple(removed),
         {name: float(left) for name, left in missing.items()},
-        tuple(_entry(entry) for entry in doubted),
+        tuple(_entry(entry) for entry in stale),
     )
 
 
--- a/src/wardstair/gateway/admission.py
+++ b/src/wardstair/gateway/admission.py
@@ -12,7 +12,7 @@
 from wardstair.gateway.messages import Inbound, Reply
 from wardstair.gateway.quotas import OverQuota, Quotas
 from wardstair.gateway.reporting import RejectedApiKey, Reporter
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.version.organisations import Organisation
 from wardstair.version.steering import SteeredRoute
 
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        belief: Belief,
+        local_state: LocalState,
         authoriser: Authoriser,
         quotas: Quotas,
         reporter: Reporter,
@@ -41,12 +41,12 @@
         """Create an admission.
 
         Args:
-            belief: State known to this host.
+            local_state: State known to this host.
             authoriser: Checks API keys and identifies the organisation.
             quotas: Enforces the quotas of organisations.
             reporter: Logs and counts refusals.
         """
-        self._belief = belief
+        self._local_state = local_state
         self._authoriser = authoriser
         self._quotas = quotas
         self._reporter = reporter
@@ -64,7 +64,7 @@
         organisation = verdict.organisation
         if organisation is None:
             return Admitted(None)
-        spent = self._belief.clock() - inbound.received_at
+        spent = self._local_state.clock() - inbound.received_at
         over = self._quotas.admit(organisation, inbound.seconds - spent)
         if over is not None:
             return self._refuse_quota(inbound, route, over)
@@ -83,8 +83,8 @@
         ending = refusals.NOT_AUTHORISED
         if isinstance(verdict, Unverified):
             ending = refusals.UNVERIFIED
-        version = self._belief.versions.configuration
-        age = self._belief.clock() - self._belief.adopted_at
+        version = self._local_state.versions.configuration
+        age = self._local_state.clock() - self._local_state.adopted_at
         self._reporter.unauthorised(
             inbound,
             route,
--- a/src/wardstair/gateway/authorising.py
+++ b/src/wardstair/gateway/authorising.py
@@ -9,7 +9,7 @@
     authorise,
 )
 from wardstair.gateway.messages import Inbound
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.version.steering import SteeredRoute
 
 
@@ -18,16 +18,16 @@
 
     def __init__(
         self,
-        belief: Belief,
+        local_state: LocalState,
         freshness: Callable[[], Freshness],
     ) -> None:
         """Create an authoriser.
 
         Args:
-            belief: What this host knows.
+            local_state: What this host knows.
             freshness: Returns how current its configuration is.
         """
-        self._belief = belief
+        self._local_state = local_state
         self._freshness = freshness
 
     def authorise(self, inbound: Inbound, route: SteeredRoute) -> Verdict:
@@ -39,7 +39,7 @@
             inbound: The request.
             route: Its route.
         """
-        steering = self._belief.steering
+        steering = self._local_state.steering
         if steering is None or not steering.organisations.by_name:
             return Authorised(None)
         verdict = authorise(
--- a/src/wardstair/gateway/choosing.py
+++ b/src/wardstair/gateway/choosing.py
@@ -34,7 +34,7 @@
 from wardstair.gateway.settings import LiveSettings
 from wardstair.gateway.splitting import Splits
 from wardstair.process.log import log_event
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import Upstream
 from wardstair.version.steering import SteeredRoute
 
@@ -119,26 +119,26 @@
     def __init__(
         self,
         settings: LiveSettings,
-        belief: Belief,
+        local_state: LocalState,
         distances: Distances,
     ) -> None:
         """Prepare without knowledge.
 
         Args:
             settings: Settings of this host.
-            belief: What this host knows.
+            local_state: What this host knows.
             distances: Round trips to zones.
         """
         own = settings.current
         self.view = HostView.unsettled(own.name, own.zone)
         self._settings = settings
-        self._belief = belief
+        self._local_state = local_state
         self._distances = distances
-        self._homes = Homes(settings, belief)
-        self.cold_sends = ColdSends(settings, belief, lambda: self.view)
+        self._homes = Homes(settings, local_state)
+        self.cold_sends = ColdSends(settings, local_state, lambda: self.view)
         self.load_view = LoadView(own.name, own.zone)
         self.limited_sends = LimitedSends(
-            belief.limits,
+            local_state.limits,
             lambda: self.load_view,
         )
         self.splits = Splits()
@@ -185,9 +185,9 @@
             )
         match reason:
             case ColdReason.refused:
-                upstream.suspect_restart(now)
+                upstream.assume_cold_locally(now)
             case ColdReason.ended:
-                upstream.suspect_new_life(now)
+                upstream.assume_cold(now)
 
     def choose(self, ask: Ask) -> Placement | None:
         """Choose an upstream for one send, or None if there is no room."""
@@ -221,7 +221,7 @@
     def _step_limits(self, now: float) -> None:
         if self.limited_sends.is_idle:
             return
-        upstreams = self._belief.catalog.upstreams.values()
+        upstreams = self._local_state.catalog.upstreams.values()
         if self.limited_sends.step(upstreams, now):
             self._homes.forget_ranks()
 
@@ -254,7 +254,7 @@
         usable = [one for one in ranked if not self._avoids(one, now)]
         if len(usable) < len(ranked) * LEAST_USABLE_SHARE:
             # So many cannot all be worse than the others.
-            usable = [one for one in ranked if now >= one.distrusted_until]
+            usable = [one for one in ranked if now >= one.avoided_until]
         # Rather one that failed lately than none.
         usable = usable or ranked
         numbered = [
@@ -270,7 +270,7 @@
 
     def _within_reach(self, ranked: list[Upstream]) -> list[Upstream]:
         """Leave out zones of which no upstream is reached, unless all are."""
-        reach = self._belief.reach
+        reach = self._local_state.reachability
         if reach.is_sound:
             return ranked
         reached = [
@@ -280,7 +280,7 @@
 
     def is_within_reach(self, ask: Ask) -> bool:
         """Return whether any upstream for a request may be within reach."""
-        reach = self._belief.reach
+        reach = self._local_state.reachability
         if reach.is_sound:
             return True
         return reach.may_reach(ask.service) and not all(
@@ -290,7 +290,7 @@
     def _avoids(self, upstream: Upstream, now: float) -> bool:
         if self._settings.current.uses(Mechanism.ejection):
             return upstream.is_avoided(now)
-        return now < upstream.distrusted_until
+        return now < upstream.avoided_until
 
     def ranked(self, ask: Ask) -> list[Upstream]:
         """Return the upstreams that may serve a request, its home first."""
@@ -298,10 +298,10 @@
 
     def have_all_left(self, ask: Ask) -> bool:
         """Return whether all upstreams for a request take nothing more."""
-        notices = self._belief.notices
+        notices = self._local_state.notices
         ranked = self._homes.ranked(self._key_ask(ask))
         return bool(ranked) and all(
-            notices.standing(one) is Standing.closed for one in ranked
+            notices.availability(one) is Standing.closed for one in ranked
         )
 
     def pause_wait(self, ask: Ask) -> float | None:
@@ -310,7 +310,7 @@
         Returns:
             The time; None if it is not pauses alone that leave no upstream.
         """
-        notices = self._belief.notices
+        notices = self._local_state.notices
         if notices.is_idle or self.ranked(ask):
             return None
         ranked = self._homes.ranked(self._key_ask(ask))
@@ -331,10 +331,10 @@
 
     def _willing(self, ranked: list[Upstream]) -> list[Upstream]:
         """Leave out those whose answers have said that they take no more."""
-        notices = self._belief.notices
+        notices = self._local_state.notices
         if notices.is_idle:
             return ranked
-        return willing([(one, notices.standing(one)) for one in ranked])
+        return willing([(one, notices.availability(one)) for one in ranked])
 
     def _haul_of(self, ask: Ask) -> Haul:
         if ask.is_large:
--- a/src/wardstair/gateway/cold_sends.py
+++ b/src/wardstair/gateway/cold_sends.py
@@ -6,7 +6,7 @@
 from wardstair.decisions.cold import ColdLimit, HostView, Pace, sender_rate
 from wardstair.gateway.settings import LiveSettings
 from wardstair.process.log import log_event
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import Upstream
 
 
@@ -20,19 +20,19 @@
     def __init__(
         self,
         settings: LiveSettings,
-        belief: Belief,
+        local_state: LocalState,
         view: Callable[[], HostView],
     ) -> None:
         """Prepare without knowledge.
 
         Args:
             settings: Settings of this host.
-            belief: What this host knows.
+            local_state: What this host knows.
             view: Returns whom this host knows and hears now.
         """
         self.sent = Counter[str]()
         self._settings = settings
-        self._belief = belief
+        self._local_state = local_state
         self._view = view
         self._paces: dict[str, Pace] = {}
         # The rate that the log told last, by upstream.
@@ -55,7 +55,7 @@
 
     def is_bounded(self, service: str) -> bool:
         """Return whether a service says what its cold upstreams bear."""
-        steering = self._belief.steering
+        steering = self._local_state.steering
         known = None if steering is None else steering.services.get(service)
         return known is not None and known.cold_rate > 0
 
@@ -94,7 +94,7 @@
         )
 
     def _rate(self, upstream: Upstream) -> float:
-        steering = self._belief.steering
+        steering = self._local_state.steering
         if steering is None:
             return 0.0
         service = steering.services.get(upstream.entry.service)
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -47,7 +47,7 @@
 )
 from wardstair.gateway.settings import LiveSettings
 from wardstair.gateway.witness import Witness
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import Upstream
 from wardstair.version.organisations import Organisation
 from wardstair.version.steering import SteeredRoute, Steering
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        belief: Belief,
+        local_state: LocalState,
         chooser: Chooser,
         ways: WaysOut,
         settings: LiveSettings,
@@ -99,7 +99,7 @@
         """Prepare without requests.
 
         Args:
-            belief: What this host knows.
+            local_state: What this host knows.
             chooser: Chooses upstreams.
             ways: Where requests leave this host.
             settings: Settings, with the fleet's limit of resends.
@@ -112,14 +112,14 @@
         self._waiting: set[Course] = set()
         self._witness = witness
         self._admission = admission
-        self._belief = belief
+        self._local_state = local_state
         self._chooser = chooser
         self._learner = Learner(
-            belief.catalog,
+            local_state.catalog,
             chooser,
             settings,
             witness,
-            belief.reach,
+            local_state.reachability,
         )
         self._sender = ways.sender
         self._settings = settings
@@ -128,7 +128,7 @@
 
     async def serve(self, inbound: Inbound) -> Reply:
         """Carry a request to its answer."""
-        steering = self._belief.steering
+        steering = self._local_state.steering
         if steering is None:
             return self._refuse(inbound, refusals.STARTING)
         route = steering.find_route(inbound.host, inbound.path)
@@ -153,9 +153,9 @@
         course = self._begin_relayed(relayed)
         if course is None:
             return refusal_of(refusals.STARTING, relayed, EVERYTHING)
-        reach = self._belief.reach
+        reach = self._local_state.reachability
         if reach.looks_silent():
-            reach.begin_doubt('silent')
+            reach.mark_suspect('silent')
         if not self._is_within_reach(course):
             lost = reach.lost or EVERYTHING
             return refusal_of(refusals.UNREACHED, relayed, lost)
@@ -187,7 +187,7 @@
 
     def _begin_relayed(self, relayed: RelayedRequest) -> Course | None:
         """Begin a request of another host; None if this one lacks its state."""
-        steering = self._belief.steering
+        steering = self._local_state.steering
         if steering is None or steering.version < relayed.version:
             return None
         inbound = inbound_of(relayed)
@@ -397,7 +397,7 @@
         if not self._is_hopeless(course):
             placement = self._place_on_way(course)
         if placement is None:
-            is_failing = self._belief.reach.has_failures
+            is_failing = self._local_state.reachability.has_failures
             if is_failing or course.trail.unreachable:
                 # What leaves no upstream may be failures of the way.
                 return self._ask_for_help(course)
@@ -434,8 +434,11 @@
         course.trail.unreachable += 1
 
     def _is_within_reach(self, course: Course) -> bool:
-        return self._belief.reach.is_sound or self._chooser.is_within_reach(
-            self._ask(course),
+        return (
+            self._local_state.reachability.is_sound
+            or self._chooser.is_within_reach(
+                self._ask(course),
+            )
         )
 
     def _is_for_others(self, course: Course) -> bool:
@@ -449,7 +452,7 @@
 
         Upstreams that come back are noticed by probes.
         """
-        is_lost = bool(self._belief.reach.lost)
+        is_lost = bool(self._local_state.reachability.lost)
         return is_lost and not self._is_within_reach(course)
 
     def _needs_help(self, course: Course) -> bool:
@@ -568,10 +571,10 @@
         upstream: Upstream,
         reason: ResendReason | None,
     ) -> None:
-        notices = self._belief.notices
+        notices = self._local_state.notices
         if notices.is_idle:
             return
-        standing = notices.standing(upstream)
+        standing = notices.availability(upstream)
         if standing is not Standing.open:
             way = reason or FIRST_SEND
             self._reporter.sent_after_notice(
@@ -641,13 +644,13 @@
         course.is_ended = True
         if ending.status == refusals.NOT_RUN and not course.is_relayed:
             self._admission.give_back(course.organisation)
-        known = len(self._belief.catalog.of_service(course.service))
+        known = len(self._local_state.catalog.of_service(course.service))
         left = course.until - time.monotonic()
         self._reporter.refused(course.trail, ending.kind, known, left)
         return ending.reply(course.inbound.request_id)
 
     def _refuse(self, inbound: Inbound, ending: refusals.Ending) -> Reply:
         """Refuse a request that no route was found for."""
-        version = self._belief.versions.configuration
+        version = self._local_state.versions.configuration
         self._reporter.unrouted(inbound, ending.kind, version)
         return ending.reply(inbound.request_id)
--- a/src/wardstair/gateway/gauges.py
+++ b/src/wardstair/gateway/gauges.py
@@ -40,16 +40,16 @@
 def add_gauges(host: 'GatewayHost') -> None:
     """Add the gauges of a gateway to its metrics."""
     metrics = host.metrics
-    belief = host.belief
+    local_state = host.local_state
     metrics.add_gauge(
         'wardstair_configuration_version',
         'Version of the configuration in force; -1 for none',
-        lambda: [(float(belief.versions.configuration), {})],
+        lambda: [(float(local_state.versions.configuration), {})],
     )
     metrics.add_gauge(
         'wardstair_configuration_age_seconds',
         'Seconds since the version in force was adopted',
-        lambda: [(time.monotonic() - belief.adopted_at, {})],
+        lambda: [(time.monotonic() - local_state.adopted_at, {})],
     )
     metrics.add_gauge(
         'wardstair_store_age_seconds',
@@ -147,7 +147,7 @@
     metrics.add_gauge(
         'wardstair_state_age_seconds',
         'Time since the state of this host was known to be complete',
-        lambda: [(belief.age.seconds, {})],
+        lambda: [(local_state.age.seconds, {})],
     )
     metrics.add_count(
         'wardstair_state_refreshes',
@@ -172,19 +172,22 @@
     metrics.add_gauge(
         'wardstair_upstream_groups_lost',
         'Groups of upstreams of which this host reaches none; `*`: all',
-        lambda: [(1.0, {'group': group}) for group in belief.reach.lost],
+        lambda: [
+            (1.0, {'group': group}) for group in local_state.reachability.lost
+        ],
     )
     metrics.add_gauge(
         'wardstair_upstream_groups_closed',
         'Groups of upstreams to which new connections fail; `*`: all',
         lambda: [
-            (1.0, {'group': group}) for group in belief.reach.opening.closed
+            (1.0, {'group': group})
+            for group in local_state.reachability.opening.closed
         ],
     )
     metrics.add_count(
         'wardstair_reach_doubts',
         'Times that no upstream might have been within reach',
-        lambda: [(float(belief.reach.doubts), {})],
+        lambda: [(float(local_state.reachability.suspect_count), {})],
     )
     metrics.add_count(
         'wardstair_reach_probes',
@@ -204,7 +207,7 @@
 
 
 def _suspects(host: 'GatewayHost') -> list[Row]:
-    suspects = host.belief.suspects
+    suspects = host.local_state.suspects
     held = len(suspects.held)
     free = len(suspects.records) - held
     return [(float(held), {'held': 'yes'}), (float(free), {'held': 'no'})]
@@ -231,9 +234,9 @@
 
 def _renewals(host: 'GatewayHost') -> list[Row]:
     return [
-        (float(count), {'kind': follower.kind, 'reason': reason.value})
-        for follower in host.sync.followers
-        for reason, count in follower.renewals.items()
+        (float(count), {'kind': watcher.kind, 'reason': reason.value})
+        for watcher in host.sync.watchers
+        for reason, count in watcher.renewals.items()
     ]
 
 
@@ -254,7 +257,7 @@
 def _limits(host: 'GatewayHost') -> list[Row]:
     return [
         (row.rate, {'upstream': name})
-        for name, row in host.belief.limits.rows.items()
+        for name, row in host.local_state.limits.rows.items()
         if row.rate is not None
     ]
 
@@ -262,7 +265,7 @@
 def _notices(host: 'GatewayHost') -> list[Row]:
     return [
         (float(count), {'notice': notice.value})
-        for notice, count in host.belief.notices.told.items()
+        for notice, count in host.local_state.notices.counts.items()
     ]
 
 
@@ -273,7 +276,7 @@
 
 def _state_of(host: 'GatewayHost', upstream: Upstream, now: float) -> str:
     if upstream.takes_work:
-        standing = host.belief.notices.standing(upstream)
+        standing = host.local_state.notices.availability(upstream)
         if standing is not Standing.open:
             return standing.value
     return upstream.state_now(now)
@@ -286,9 +289,9 @@
 ) -> list[Row]:
     now = time.monotonic()
     counts: Counter[tuple[str, str]] = Counter()
-    for upstream in host.belief.catalog.upstreams.values():
+    for upstream in host.local_state.catalog.upstreams.values():
         state = _state_of(host, upstream, now)
-        amount = upstream.own if counts_requests else 1
+        amount = upstream.in_flight if counts_requests else 1
         counts[upstream.entry.service, state] += amount
     return [
         (float(count), {'service': service, 'state': state})
--- a/src/wardstair/gateway/homes.py
+++ b/src/wardstair/gateway/homes.py
@@ -16,7 +16,7 @@
 from wardstair.gateway.moving import RegionMoves
 from wardstair.gateway.settings import LiveSettings
 from wardstair.process.log import log_event
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import Upstream
 from wardstair.version.steering import SteeredRoute
 
@@ -73,15 +73,15 @@
 class Homes:
     """Ranks upstreams for keys; one a process."""
 
-    def __init__(self, settings: LiveSettings, belief: Belief) -> None:
+    def __init__(self, settings: LiveSettings, local_state: LocalState) -> None:
         """Prepare without knowledge.
 
         Args:
             settings: Settings of this host.
-            belief: What this host knows.
+            local_state: What this host knows.
         """
         self._settings = settings
-        self._belief = belief
+        self._local_state = local_state
         self._ranked: dict[KeyAsk, list[Upstream]] = {}
         self._near: dict[tuple[str, frozenset[str], Haul], Nearness] = {}
         self._moves = RegionMoves()
@@ -116,8 +116,8 @@
         if not self._settings.current.uses(Mechanism.relief):
             return
         by_service: dict[str, list[Upstream]] = {}
-        for upstream in self._belief.catalog.upstreams.values():
-            is_known = now - upstream.told_at < CROWD_KEPT_SECONDS
+        for upstream in self._local_state.catalog.upstreams.values():
+            is_known = now - upstream.reported_at < CROWD_KEPT_SECONDS
             if upstream.takes_work and is_known:
                 service = upstream.entry.service
                 by_service.setdefault(service, []).append(upstream)
@@ -134,7 +134,7 @@
 
     def _follow_moves(self) -> None:
         is_new = self._moves.follow(
-            self._belief.steering,
+            self._local_state.steering,
             self._region_share,
             self._now,
             self._most_share,
@@ -184,7 +184,7 @@
 
     def _forget_old(self) -> None:
         """Drop ranks that were made for other upstreams or settings."""
-        generation = self._belief.catalog.generation
+        generation = self._local_state.catalog.generation
         settings = self._settings.current
         if self._generation == generation and self._ranked_by is settings:
             return
@@ -197,7 +197,11 @@
         by_name = {upstream.name: upstream for upstream in upstreams}
         changed = relieved(
             [
-                Crowd(upstream.name, upstream.relief, upstream.crowding)
+                Crowd(
+                    upstream.name,
+                    upstream.rebalance_factor,
+                    upstream.utilization,
+                )
                 for upstream in upstreams
             ]
         )
@@ -207,18 +211,18 @@
                 'upstream-relieved',
                 upstream=name,
                 service=upstream.entry.service,
-                crowding=round(upstream.crowding, 2),
+                crowding=round(upstream.utilization, 2),
                 weight=round(weight, 3),
-                before=round(upstream.relief, 3),
+                before=round(upstream.rebalance_factor, 3),
             )
-            upstream.relief = weight
+            upstream.rebalance_factor = weight
         if changed:
             self._ranked.clear()
 
     def _allowed(self, ask: KeyAsk) -> list[Upstream]:
         return [
             upstream
-            for upstream in self._belief.catalog.of_service(ask.service)
+            for upstream in self._local_state.catalog.of_service(ask.service)
             if self._is_allowed(ask.regions, upstream)
         ]
 
@@ -244,8 +248,8 @@
             Place(
                 name,
                 upstream.entry.slots
-                * upstream.relief
-                * upstream.drawn
+                * upstream.rebalance_factor
+                * upstream.weight_factor
                 * self._factor(upstream, nearness),
             )
             for name, upstream in by_name.items()
@@ -254,7 +258,7 @@
 
     def _is_allowed(self, regions: frozenset[str], upstream: Upstream) -> bool:
         zone = upstream.entry.zone
-        if zone in self._belief.evacuated:
+        if zone in self._local_state.evacuated:
             return False
         if not regions:
             return True
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -57,17 +57,17 @@
 from wardstair.process.log import log_event, log_warning
 from wardstair.process.metrics import Metrics
 from wardstair.process.supervision import Supervisor
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
 from wardstair.state.contact import StoreContact
 from wardstair.state.exchange import StateExchange
-from wardstair.state.following import Follower
 from wardstair.state.freshness import ConfigurationFreshness
+from wardstair.state.local_state import LocalState
 from wardstair.state.refreshing import StateRefresher
 from wardstair.state.registration import Registration
 from wardstair.state.roles import RoleLog, Roles
 from wardstair.state.suspect_sharing import SuspectSharing
 from wardstair.state.sync import StoreSync
+from wardstair.state.watching import KindWatcher
 
 # How often what is past is swept out: connections, missing upstreams.
 SWEEP_SECONDS = 0.5
@@ -118,18 +118,18 @@
         )
         self._busyness = Busyness()
         self._random = random
-        self.belief = Belief(clock, Catalog(clock))
-        self.belief.on_steering = self._on_steering
-        self.belief.restoration.period = lambda: (
+        self.local_state = LocalState(clock, Catalog(clock))
+        self.local_state.on_steering = self._on_steering
+        self.local_state.restoration.period = lambda: (
             self.live_settings.current.heartbeat.lapse_seconds
         )
-        self.belief.notices.drain_seconds = lambda: (
+        self.local_state.notices.drain_seconds = lambda: (
             self.live_settings.current.bounds.drain_seconds
         )
         self.store = Store(settings.store)
         self.contact = StoreContact(clock, random)
         self.store.on_era = self.contact.note_era
-        self.contact.harmless_seconds = lambda: (
+        self.contact.tolerated_outage_seconds = lambda: (
             self.live_settings.current.heartbeat.harmless_seconds
         )
         self.members = Members(
@@ -143,37 +143,37 @@
             self.live_settings.current.timing.sentinel_silence
         )
         self.members.is_sentinel = lambda: self.is_sentinel
-        self.members.is_doubting = lambda: self.contact.is_doubted
+        self.members.is_doubting = lambda: self.contact.is_suspect
         self.members.on_doubt = self.contact.renew_watches
-        self.members.own_contact = lambda: self.contact.span
+        self.members.own_contact = lambda: self.contact.contact_period
         self.contact.others = self.members.contacts
         self.radio = Radio(
             self.members,
             settings.fleet_ports[0],
-            lambda: self.belief.versions,
+            lambda: self.local_state.versions,
             random,
         )
         self.radio.sentinel_seconds = lambda: (
             self.live_settings.current.timing.sentinel_beat
         )
-        self.contact.on_doubt = self._on_doubt
+        self.contact.on_suspect = self._on_doubt
         roles = Roles(
             lambda: self.members.is_relay,
             lambda: self.is_sentinel,
             lambda: self._sentinel_rank == 0,
         )
         self._role_log = RoleLog(roles)
-        self.radio.state_age = lambda: self.belief.age.told
-        self.belief.age.on_fresh = self.radio.tell_age
+        self.radio.state_age = lambda: self.local_state.age.reportable
+        self.local_state.age.on_fresh = self.radio.tell_age
         self.sync = StoreSync(
             self.store,
             self.contact,
-            self.belief,
+            self.local_state,
             roles,
             lambda: self.live_settings.current.timing,
         )
         self.exchange = StateExchange(
-            self.belief,
+            self.local_state,
             self.contact,
             settings.fleet_ports[0],
             roles,
@@ -181,18 +181,18 @@
             lambda: self.live_settings.current.timing,
         )
         self.radio.on_beat = self._on_beat
-        self.radio.on_state = self.exchange.take_datagram
+        self.radio.on_state = self.exchange.receive_datagram
         self._news = NewsSender(
             self.radio,
             self.exchange,
             roles,
             lambda: self.live_settings.current.timing,
         )
-        self.exchange.on_news = self._news.tell
-        self.sync.on_news = self._news.tell
+        self.exchange.on_update = self._news.tell
+        self.sync.on_update = self._news.tell
         self.refresher = StateRefresher(
             self.sync,
-            self.belief,
+            self.local_state,
             self.contact,
             roles,
             self._refresh_times,
@@ -202,7 +202,7 @@
             self.contact,
             own,
             self.members,
-            self.belief.restoration,
+            self.local_state.restoration,
             is_first_start=settings.is_first_start,
         )
         distances = Distances(self.live_settings)
@@ -214,21 +214,21 @@
             random,
         )
         self.reach_keeper = ReachKeeper(
-            self.belief,
+            self.local_state,
             self.pool,
             random,
         )
-        self.belief.reach.times = lambda: reach_times(
+        self.local_state.reachability.times = lambda: reach_times(
             self.live_settings.current.bounds.contact_seconds,
         )
-        self.belief.reach.on_change = self._on_reach
-        self.belief.reach.on_regained = self._on_regained
-        self.chooser = Chooser(self.live_settings, self.belief, distances)
+        self.local_state.reachability.on_change = self._on_reach
+        self.local_state.reachability.on_regained = self._on_regained
+        self.chooser = Chooser(self.live_settings, self.local_state, distances)
         reporter = Reporter(self.metrics)
         self.suspect_sharing = SuspectSharing(
             self.store,
             self.contact,
-            self.belief.suspects,
+            self.local_state.suspects,
             roles,
             random,
         )
@@ -244,19 +244,19 @@
             LIMIT_NEWS_SECONDS,
         )
         self._reach_teller = NewsTeller(self.radio.send_beats)
-        self.belief.limits.on_change = self._on_limits
+        self.local_state.limits.on_change = self._on_limits
         self._life_ends = LifeEnds(
-            self.belief,
+            self.local_state,
             self.pool,
             self.chooser,
             self._suspect_teller,
             self.suspect_sharing.changed,
         )
         self.witness = Witness(
-            self.belief.suspects,
+            self.local_state.suspects,
             self._life_ends.newest,
             lambda: self.live_settings.current.heartbeat.lapse_seconds,
-            lambda: self.belief.catalog.in_service,
+            lambda: self.local_state.catalog.in_service,
         )
         self.quotas = Quotas(
             clock,
@@ -276,25 +276,25 @@
             self.members,
             self.quotas.table,
             settings.fleet_ports[0] + DEMAND_PORT_OFFSET,
-            lambda: self.belief.has_quotas,
+            lambda: self.local_state.has_quotas,
             random,
         )
         self.demand_radio.far_addresses = lambda: self.radio.far_addresses
         self.demand_radio.on_reported = self.quotas.note_reported
         self._freshness = ConfigurationFreshness(clock, self._hears_store)
         self.forwarder = Forwarder(
-            self.belief,
+            self.local_state,
             self.chooser,
             WaysOut(
-                Sender(self.pool, distances, self.belief),
+                Sender(self.pool, distances, self.local_state),
                 self.handover,
             ),
             self.live_settings,
             reporter,
             self.witness,
             Admission(
-                self.belief,
-                Authoriser(self.belief, self._configuration_freshness),
+                self.local_state,
+                Authoriser(self.local_state, self._configuration_freshness),
                 self.quotas,
                 reporter,
             ),
@@ -318,7 +318,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether callers should be sent here."""
-        return self.belief.steering is not None and not self._is_stopping
+        return self.local_state.steering is not None and not self._is_stopping
 
     @property
     def is_sentinel(self) -> bool:
@@ -346,7 +346,7 @@
         listeners.open(
             state_application(
                 self.exchange,
-                self.belief.suspects,
+                self.local_state.suspects,
                 self.relays,
             ),
             Listener(settings.address, settings.fleet_ports[0]),
@@ -357,9 +357,9 @@
         spawn('evacuations', self._follow(self.sync.evacuations))
         spawn('upstreams', self._follow_upstreams)
         sharing = self.suspect_sharing
-        spawn('suspects', self._follow(sharing.follower))
+        spawn('suspects', self._follow(sharing.watcher))
         spawn('suspect-sharing', sharing.run)
-        spawn('contact', self.sync.prove_contact)
+        spawn('contact', self.sync.probe_contact)
         spawn('registration', self.registration.run)
         spawn('heartbeats', lambda: self.radio.run(seeds))
         spawn('sentinel-heartbeats', self.radio.run_closely)
@@ -439,15 +439,15 @@
         ]
 
     def _on_steering(self) -> None:
-        steering = self.belief.steering
+        steering = self.local_state.steering
         assert steering is not None
         self.chooser.splits.follow(steering.routes)
         self.quotas.forget(steering.organisations.by_name)
         self._listeners.limit_callers(steering.limits)
 
     def _most_connections(self, name: str) -> int:
-        steering = self.belief.steering
-        upstream = self.belief.catalog.upstreams.get(name)
+        steering = self.local_state.steering
+        upstream = self.local_state.catalog.upstreams.get(name)
         if steering is None or upstream is None:
             return LEAST_CONNECTIONS
         service = steering.services.get(upstream.entry.service)
@@ -463,16 +463,16 @@
             await asyncio.sleep(SWEEP_SECONDS)
             now = self._clock()
             self.members.is_busy = self._busyness.note(now - due, now)
-            catalog = self.belief.catalog
+            catalog = self.local_state.catalog
             catalog.expire_missing()
             self.pool.sweep(self._is_wanted)
             self.chooser.cold_sends.forget(set(catalog.upstreams))
             self.chooser.limited_sends.forget(catalog.upstreams)
             self.loads.step()
-            self.belief.end_restore()
-            self.belief.suspects.expire()
-            self.belief.limits.forget(catalog.upstreams)
-            self.belief.notices.forget(catalog.upstreams)
+            self.local_state.expire_kept_zones()
+            self.local_state.suspects.expire()
+            self.local_state.limits.forget(catalog.upstreams)
+            self.local_state.notices.forget(catalog.upstreams)
             self.views.refresh()
             self._role_log.refresh()
             self._freshness.refresh()
@@ -505,12 +505,12 @@
         is_expired = self._freshness.age > bounds.revoke_seconds
         return Freshness(self._hears_store(), is_expired)
 
-    def _follow(self, follower: Follower) -> Callable[[], Awaitable[None]]:
+    def _follow(self, watcher: KindWatcher) -> Callable[[], Awaitable[None]]:
         async def follow() -> None:
             if self.settings.is_first_start:
                 await asyncio.sleep(FIRST_LISTING_SECONDS)
             await self.radio.is_greeted.wait()
-            await follower.run()
+            await watcher.run()
 
         return follow
 
@@ -521,7 +521,7 @@
 
     def _on_beat(self, beat: Beat) -> None:
         self.loads.take_in(beat)
-        self.exchange.on_beat(beat)
+        self.exchange.on_heartbeat(beat)
 
     def _on_limits(self) -> None:
         """Have others know of a limit, and divide it."""
@@ -531,7 +531,7 @@
             self.views.refresh_loads()
 
     async def _serve_caller(self, inbound: Inbound) -> Reply:
-        if not self.belief.reach.is_cut_off:
+        if not self.local_state.reachability.is_cut_off:
             # Otherwise it counts at the host that it is handed on to.
             self.loads.note_request()
         return await self.forwarder.serve(inbound)
@@ -542,7 +542,7 @@
 
     def _on_reach(self) -> None:
         """Have others know what this host does not reach."""
-        reach = self.belief.reach
+        reach = self.local_state.reachability
         self.members.lost = reach.lost
         if reach.is_cut_off:
             # Open connections may have gone silent with the rest.
@@ -552,8 +552,8 @@
     def _on_regained(self, groups: frozenset[str]) -> None:
         """Drop what was learned of upstreams while the way to them was cut."""
         for group in groups:
-            for entry in self.belief.reach.members_of(group):
-                self.belief.catalog.upstreams[entry.name].forgive()
+            for entry in self.local_state.reachability.members_of(group):
+                self.local_state.catalog.upstreams[entry.name].reset_failures()
 
     def _on_doubt(self) -> None:
         """Let others watch the store while this sentinel doubts its contact."""
@@ -561,7 +561,10 @@
             self.radio.send_beats()
 
     def _is_wanted(self, name: str) -> bool:
-        upstream = self.belief.catalog.upstreams.get(name)
+        upstream = self.local_state.catalog.upstreams.get(name)
         if upstream is None or not upstream.takes_work:
             return False
-        return self.belief.notices.standing(upstream) is not Standing.closed
+        return (
+            self.local_state.notices.availability(upstream)
+            is not Standing.closed
+        )
--- a/src/wardstair/gateway/learning.py
+++ b/src/wardstair/gateway/learning.py
@@ -21,7 +21,7 @@
 from wardstair.platform.headers import ToldLoad
 from wardstair.process.log import log_event
 from wardstair.state.catalog import Catalog
-from wardstair.state.reach import ReachTable
+from wardstair.state.reachability import ReachabilityTable
 from wardstair.version.steering import SteeredRoute
 
 # Statuses from here on say that the upstream failed; but for 504, by which it
@@ -72,7 +72,7 @@
         chooser: Chooser,
         settings: LiveSettings,
         witness: Witness,
-        reach: ReachTable,
+        reach: ReachabilityTable,
     ) -> None:
         """Prepare.
 
@@ -141,7 +141,7 @@
             # A failure clears nobody: some upstreams fail a part of all.
             case Delivered() if _is_good(outcome) and not self._witness.is_idle:
                 suspects = self._witness.suspects
-                suspects.note_answered(inbound.identity, upstream.life)
+                suspects.note_answered(inbound.identity, upstream.incarnation)
 
     def _trusts_load(self) -> bool:
         return self._settings.current.uses(Mechanism.told_rejections)
--- a/src/wardstair/gateway/limited_sends.py
+++ b/src/wardstair/gateway/limited_sends.py
@@ -158,8 +158,8 @@
         is_changed = False
         for upstream in upstreams:
             drawn = self._drawn(upstream, seconds)
-            if drawn != upstream.drawn:
-                upstream.drawn = drawn
+            if drawn != upstream.weight_factor:
+                upstream.weight_factor = drawn
                 is_changed = True
         return is_changed
 
@@ -227,10 +227,10 @@
         if part.rate <= 0:
             return 1.0
         if wanted < part.rate * WANTED:
-            return min(most, upstream.drawn * DRAW_STEP)
+            return min(most, upstream.weight_factor * DRAW_STEP)
         if wanted > part.rate * WANTED * DRAW_STEP**2:
-            return max(1.0, upstream.drawn / DRAW_STEP)
-        return min(most, upstream.drawn)
+            return max(1.0, upstream.weight_factor / DRAW_STEP)
+        return min(most, upstream.weight_factor)
 
     def _tell(self, upstream: Upstream, kept: LimitedUpstream) -> None:
         view = self._view()
@@ -241,7 +241,7 @@
             zone=upstream.entry.zone,
             limit=self._limits.rate_of(upstream),
             rate=round(kept.part.rate, 3),
-            drawn=round(upstream.drawn, 2),
+            drawn=round(upstream.weight_factor, 2),
             hosts=len(view.hosts),
             zones=len(view.zones),
             silent=round(view.silent, 1),
--- a/src/wardstair/gateway/lives.py
+++ b/src/wardstair/gateway/lives.py
@@ -5,8 +5,8 @@
 from wardstair.connection.pool import UpstreamPool
 from wardstair.gateway.choosing import Chooser, ColdReason
 from wardstair.gateway.telling import NewsTeller
-from wardstair.state.belief import Belief
 from wardstair.state.entries import UpstreamEntry
+from wardstair.state.local_state import LocalState
 
 
 class LifeEnds:
@@ -14,7 +14,7 @@
 
     def __init__(
         self,
-        belief: Belief,
+        local_state: LocalState,
         pool: UpstreamPool,
         chooser: Chooser,
         teller: NewsTeller,
@@ -23,20 +23,20 @@
         """Listen to the catalog and the table of suspects.
 
         Args:
-            belief: What this host knows.
+            local_state: What this host knows.
             pool: Connections to upstreams.
             chooser: Keeps what cold upstreams get.
             teller: Has others know that this host has learned something.
             changed: Set when the table of suspects has changed.
         """
         self._teller = teller
-        self._catalog = belief.catalog
+        self._catalog = local_state.catalog
         self._pool = pool
         self._chooser = chooser
         self._changed = changed
-        belief.catalog.on_life_ended = self._on_restarted
-        belief.suspects.on_ended = self._on_ended
-        belief.suspects.on_change = self._on_suspects
+        local_state.catalog.on_incarnation_ended = self._on_restarted
+        local_state.suspects.on_ended = self._on_ended
+        local_state.suspects.on_change = self._on_suspects
 
     def newest(self, name: str) -> UpstreamEntry | None:
         """Return the entry of an upstream's newest life, if it is there.
--- a/src/wardstair/gateway/news.py
+++ b/src/wardstair/gateway/news.py
@@ -5,7 +5,7 @@
 
 from wardstair.decisions.timing import Timing
 from wardstair.fleet.radio import Radio
-from wardstair.state.exchange import News, StateExchange
+from wardstair.state.exchange import StateExchange, StateUpdate
 from wardstair.state.roles import Roles
 
 
@@ -41,7 +41,7 @@
         """Tell what is new now, and once more a little later."""
         if not self._roles.is_relay():
             return
-        news = self._exchange.take_news()
+        news = self._exchange.take_update()
         if news is None:
             # Others may lack what hosts merge; the next heartbeat tells again.
             self._radio.send_beats()
@@ -59,7 +59,7 @@
         if self._repeat is not None:
             self._repeat.cancel()
 
-    def _send(self, news: News) -> None:
+    def _send(self, news: StateUpdate) -> None:
         if news.state is not None:
             is_sentinel = self._roles.is_sentinel()
             self._radio.send_state(news.state, to_others=is_sentinel)
--- a/src/wardstair/gateway/reaching.py
+++ b/src/wardstair/gateway/reaching.py
@@ -15,8 +15,8 @@
 )
 from wardstair.connection.upstream import RawAnswer
 from wardstair.decisions.reach import ALL, zone_group
-from wardstair.state.belief import Belief
 from wardstair.state.entries import UpstreamEntry
+from wardstair.state.local_state import LocalState
 from wardstair.state.roles import ignore
 
 # Upstreams asked in doubt; of different zones as far as there are.
@@ -40,26 +40,26 @@
 
     def __init__(
         self,
-        belief: Belief,
+        local_state: LocalState,
         pool: UpstreamPool,
         random: Random,
     ) -> None:
         """Prepare without a task.
 
         Args:
-            belief: What this host knows.
+            local_state: What this host knows.
             pool: Connections to upstreams.
             random: Source of the choice of whom to ask.
         """
         self.probes = 0
         self.on_doubt = ignore
-        self._reach = belief.reach
-        self._belief = belief
+        self._reach = local_state.reachability
+        self._local_state = local_state
         self._pool = pool
         self._random = random
         self._doubted = asyncio.Event()
-        belief.reach.on_doubt = self._note_doubt
-        belief.reach.on_opening_doubt = self._doubted.set
+        local_state.reachability.on_suspect = self._note_doubt
+        local_state.reachability.on_opening_suspect = self._doubted.set
 
     async def run(self) -> None:
         """Watch until cancelled."""
@@ -72,19 +72,19 @@
         """Begin a doubt if there is reason for one."""
         reach = self._reach
         if reach.is_failing:
-            reach.begin_doubt('failures')
+            reach.mark_suspect('failures')
         elif reach.is_sound and await self._is_silent():
-            reach.begin_doubt('silent')
+            reach.mark_suspect('silent')
 
     async def _follow_up(self) -> None:
         """Ask upstreams if any may be out of reach."""
         reach = self._reach
-        if reach.is_doubted:
+        if reach.is_suspect:
             await self._ask(self._spread())
-            reach.end_doubt()
+            reach.clear_suspect()
         elif reach.opening.is_doubted:
             await self._ask(self._spread())
-            reach.end_opening_doubt()
+            reach.clear_opening_suspect()
         elif reach.lost or reach.opening.closed:
             reach.refresh()
             unreached = reach.lost | reach.opening.closed
@@ -97,7 +97,7 @@
     async def _wait(self) -> None:
         reach = self._reach
         self._doubted.clear()
-        if reach.is_doubted or reach.opening.is_doubted:
+        if reach.is_suspect or reach.opening.is_doubted:
             return
         try:
             async with asyncio.timeout(self._seconds_to_next()):
@@ -126,7 +126,7 @@
 
     def _members_of(self, group: str) -> list[UpstreamEntry]:
         """Return who may be asked of a group, in random order."""
-        evacuated = self._belief.evacuated
+        evacuated = self._local_state.evacuated
         entries = [
             entry
             for entry in self._reach.members_of(group)
@@ -187,7 +187,7 @@
         return isinstance(ended, RawAnswer)
 
     def _path_of(self, service: str) -> str:
-        steering = self._belief.steering
+        steering = self._local_state.steering
         known = None if steering is None else steering.services.get(service)
         return _DEFAULT_PATH if known is None else known.health_path
 
--- a/src/wardstair/gateway/reporting.py
+++ b/src/wardstair/gateway/reporting.py
@@ -152,7 +152,7 @@
             rank=candidate.rank,
             warm=trail.was_warm,
             load=round(candidate.load, 1),
-            load_age=_age(now, placement.upstream.told_at),
+            load_age=_age(now, placement.upstream.reported_at),
             slots=candidate.slots,
             slowness=round(candidate.slowness, 2),
             sends=trail.sends,
--- a/src/wardstair/gateway/sending.py
+++ b/src/wardstair/gateway/sending.py
@@ -28,7 +28,7 @@
     encode_upstream,
 )
 from wardstair.process.log import log_event
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import RunningSend, Upstream
 
 _MISDIRECTED = 421
@@ -121,17 +121,17 @@
         self,
         pool: UpstreamPool,
         distances: Distances,
-        belief: Belief,
+        local_state: LocalState,
     ) -> None:
         """Prepare without connections.
 
         Args:
             pool: The connections.
             distances: Told how long connections take to open.
-            belief: Asked what upstreams take, and told what they say in their
-                answers, which of them answer and which do not.
+            local_state: Asked what upstreams take, and told what they say in
+                their answers, which of them answer and which do not.
         """
-        self._belief = belief
+        self._local_state = local_state
         self._pool = pool
         self._distances = distances
         self._numbers = count()
@@ -143,7 +143,7 @@
             upstream: Where to.
             is_once: Whether the request may run only once.
         """
-        return self._belief.reach.may_open(
+        return self._local_state.reachability.may_open(
             upstream.entry,
         ) or self._pool.has_resting(upstream.name, is_once=is_once)
 
@@ -209,7 +209,7 @@
             self._pool.give_back(upstream.name, connection)
             return NotSent('time is up')
         # An answer may have said so while the connection was opened.
-        if self._belief.notices.standing(upstream) in _TAKE_NOTHING:
+        if self._local_state.notices.availability(upstream) in _TAKE_NOTHING:
             self._pool.give_back(upstream.name, connection)
             return Withheld()
         head = _encode_head(inbound, upstream, until - started)
@@ -265,20 +265,20 @@
         It may have gone, or its zone may be emptied, since it was chosen:
         opening a connection takes its time.
         """
-        is_emptied = upstream.entry.zone in self._belief.evacuated
+        is_emptied = upstream.entry.zone in self._local_state.evacuated
         return is_emptied or not upstream.takes_work
 
     def _note_answered(self, upstream: Upstream, *, is_new: bool) -> None:
         """Note an answer that came on a connection."""
-        self._belief.reach.note_reached(upstream.entry)
+        self._local_state.reachability.note_reached(upstream.entry)
         if is_new:
-            self._belief.reach.note_opened(upstream.entry)
+            self._local_state.reachability.note_opened(upstream.entry)
 
     def _note_broken(self, upstream: Upstream, *, is_new: bool) -> None:
         """Note a connection that ended during an exchange."""
-        self._belief.reach.note_failed(upstream.entry)
+        self._local_state.reachability.note_failed(upstream.entry)
         if is_new:
-            self._belief.reach.note_unopened(upstream.entry)
+            self._local_state.reachability.note_unopened(upstream.entry)
 
     def _note_told(
         self,
@@ -287,11 +287,11 @@
         fields: UpstreamFields,
     ) -> None:
         """Note what an upstream says of itself in an answer."""
-        self._belief.limits.note(upstream, fields.limit)
+        self._local_state.limits.note(upstream, fields.limit)
         if fields.is_leaving:
-            self._belief.notices.note_leaving(upstream)
+            self._local_state.notices.note_leaving(upstream)
         if status in _PAUSING and fields.retry_after is not None:
-            self._belief.notices.note_pause(upstream, fields.retry_after)
+            self._local_state.notices.note_pause(upstream, fields.retry_after)
 
     async def _connection(
         self,
@@ -302,7 +302,7 @@
     ) -> UpstreamConnection | ConnectFailed | None:
         """Return a connection; None if new ones fail and none is open."""
         entry = upstream.entry
-        may_open = self._belief.reach.may_open(entry)
+        may_open = self._local_state.reachability.may_open(entry)
         if not (is_fresh and may_open):
             connection = self._pool.borrow(upstream.name, is_once=is_once)
             if connection is not None:
--- a/src/wardstair/gateway/witness.py
+++ b/src/wardstair/gateway/witness.py
@@ -109,7 +109,7 @@
         if not upstream.takes_work:
             # It is leaving, or has left: its end is planned.
             return
-        life = upstream.life
+        life = upstream.incarnation
         case = self._cases.get(life)
         if case is None:
             case = _Case(upstream, {request})
@@ -151,7 +151,7 @@
                 self._prove(case)
                 await asyncio.sleep(SAME_END_SECONDS)
         finally:
-            self._cases.pop(case.upstream.life, None)
+            self._cases.pop(case.upstream.incarnation, None)
 
     async def _has_ended(self, case: _Case) -> bool:
         """Ask after each break until it has ended, or nothing more is said."""
@@ -248,7 +248,7 @@
             born=case.upstream.entry.born,
             contents=','.join(sorted(requests)),
         )
-        self.suspects.note_ended(requests, case.upstream.life)
+        self.suspects.note_ended(requests, case.upstream.incarnation)
 
 
 def _placed(entry: UpstreamEntry) -> Placed:
--- a/src/wardstair/state/age.py
+++ b/src/wardstair/state/age.py
@@ -54,7 +54,7 @@
         return self._clock() - self._complete_at(MOST_HOPS)
 
     @property
-    def told(self) -> ToldAge | None:
+    def reportable(self) -> ToldAge | None:
         """Age to tell other hosts; None while it is not known."""
         if len(self._known) < len(self._moments):
             return None
@@ -81,11 +81,13 @@
                 self._set(other, moment, 0)
         self._note_gain(before)
 
-    def note_told(self, told: ToldAge, asked_at: float | None = None) -> None:
+    def note_reported(
+        self, told: ToldAge, asked_at: float | None = None
+    ) -> None:
         """Note that this host knows all that another one does.
 
         Args:
-            told: Age of the other host's state, with the way here.
+            reportable: Age of the other host's state, with the way here.
             asked_at: When this host had asked for it; None if it came unasked.
         """
         hops = told.hops + 1
@@ -99,7 +101,7 @@
             self._set(kind, moment - told.seconds, hops)
         self._note_gain(before)
 
-    def look(self, period: float) -> None:
+    def tick(self, period: float) -> None:
         """Note that the process runs; to be called all the time.
 
         What comes in after it stood still may have waited as long.
--- a/src/wardstair/state/catalog.py
+++ b/src/wardstair/state/catalog.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, field, replace
 
 from wardstair.process.log import log_event
-from wardstair.state.doubts import Doubts
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
 from wardstair.state.removals import Removal, RemovalLog
 from wardstair.state.restoration import Restoration
 from wardstair.state.revision import NO_REVISION, Revision
-from wardstair.state.upstream import UNTOLD_SECONDS, Upstream
+from wardstair.state.stale_entries import StaleEntries
+from wardstair.state.upstream import ASSUMED_COLD_SECONDS, Upstream
 
 # Entries that vanish while the store is away are back this long after its
 # return if the upstream lives; the operators state about two seconds.
@@ -36,7 +36,7 @@
         removed: Names of those that are gone.
         missing: Seconds that are left for entries which vanished while the
             store was away to come back, by name.
-        doubted: Entries that a restored store lists though their upstreams had
+        stale: Entries that a restored store lists though their upstreams had
             left, or had said that they drain.
     """
 
@@ -45,7 +45,7 @@
     entries: tuple[UpstreamEntry, ...]
     removed: tuple[str, ...] = ()
     missing: Mapping[str, float] = field(default_factory=dict)
-    doubted: tuple[UpstreamEntry, ...] = ()
+    stale: tuple[UpstreamEntry, ...] = ()
 
 
 @dataclass(slots=True)
@@ -57,9 +57,9 @@
         revision: Revision of the store up to which changes are in.
         upstreams: By name; those leaving stay until they are forgotten.
         generation: Grows when the upstreams that take work change.
-        on_life_ended: Told the name of an upstream that has started again.
+        on_incarnation_ended: Called with the name of a restarted upstream.
         restoration: The last restore of the store.
-        knows_lapses: Whether this host's own contact shows that nothing can
+        rules_out_expiry: Whether this host's own contact shows that nothing can
             have lapsed: what another one misses was removed.
     """
 
@@ -67,13 +67,13 @@
     revision: Revision = NO_REVISION
     upstreams: dict[str, Upstream] = field(default_factory=dict)
     generation: int = 0
-    on_life_ended: Callable[[str], None] = lambda _name: None
+    on_incarnation_ended: Callable[[str], None] = lambda _name: None
     restoration: Restoration = field(init=False)
-    knows_lapses: Callable[[], bool] = lambda: False
+    rules_out_expiry: Callable[[], bool] = lambda: False
     _missing: dict[str, float] = field(default_factory=dict)
     _by_service: dict[str, list[Upstream]] = field(default_factory=dict)
     _removals: RemovalLog = field(default_factory=RemovalLog)
-    _doubts: Doubts = field(default_factory=Doubts)
+    _doubts: StaleEntries = field(default_factory=StaleEntries)
 
     def __post_init__(self) -> None:
         """Begin without a restore."""
@@ -114,7 +114,7 @@
             self._doubts.entries,
         )
 
-    def take_over(self, changes: CatalogChanges) -> bool:
+    def merge_peer_changes(self, changes: CatalogChanges) -> bool:
         """Take in what another host has told.
 
         Returns:
@@ -137,12 +137,12 @@
                 store_was_away=False,
             )
         self._share_missing(changes.missing)
-        if changes.doubted:
+        if changes.stale:
             self._share_doubts(changes)
         return True
 
     def _share_missing(self, missing: Mapping[str, float]) -> None:
-        if missing and self.knows_lapses() and not self._may_register_again:
+        if missing and self.rules_out_expiry() and not self._may_register_again:
             self.end_missing(missing)
             return
         now = self.clock()
@@ -158,9 +158,9 @@
         self._index()
 
     def _share_doubts(self, changes: CatalogChanges) -> None:
-        self._doubts.share(changes.doubted)
+        self._doubts.share(changes.stale)
         told = {entry.name for entry in changes.entries}
-        for entry in changes.doubted:
+        for entry in changes.stale:
             if entry.name not in told:
                 # The other host saw it leave.
                 self.remove(entry.name, store_was_away=False)
@@ -186,7 +186,7 @@
         is_new_era = revision.era > self.revision.era
         self.restoration.enter(revision.era)
         if is_new_era and self.restoration.is_recent:
-            removed = self._removals.lives
+            removed = self._removals.incarnations
             self._doubts.begin(
                 listed.values(),
                 lambda entry: self._had_left(entry, removed.get(entry.name)),
@@ -280,7 +280,7 @@
         self.upstreams = {
             name: upstream
             for name, upstream in self.upstreams.items()
-            if upstream.gone_at is None or upstream.own
+            if upstream.gone_at is None or upstream.in_flight
         }
         if late:
             self._index()
@@ -310,16 +310,16 @@
         have read its entry: 30 in a second were seen where 8 are borne.
 
         Args:
-            life: The life, as `Upstream.life` names it.
+            incarnation: The life, as `Upstream.life` names it.
 
         Returns:
             Its upstream; None if that has another life by now.
         """
         upstream = self.upstreams.get(life.rpartition('@')[0])
-        if upstream is None or upstream.life != life:
+        if upstream is None or upstream.incarnation != life:
             return None
-        end = self.clock() + UNTOLD_SECONDS
-        upstream.distrusted_until = max(upstream.distrusted_until, end)
+        end = self.clock() + ASSUMED_COLD_SECONDS
+        upstream.avoided_until = max(upstream.avoided_until, end)
         return upstream
 
     def mark_cold(self, zone: str, seconds_of: Callable[[str], float]) -> None:
@@ -396,11 +396,11 @@
             service=entry.service,
             born=entry.born,
             before=upstream.entry.born,
-            in_flight=upstream.own,
+            in_flight=upstream.in_flight,
         )
         upstream.has_ended = True
         upstream.gone_at = self.clock()
-        self.on_life_ended(entry.name)
+        self.on_incarnation_ended(entry.name)
 
     def _forget(self, upstream: Upstream, now: float) -> None:
         self._missing.pop(upstream.name, None)
@@ -411,7 +411,7 @@
             'upstream-gone',
             upstream=upstream.name,
             service=upstream.entry.service,
-            in_flight=upstream.own,
+            in_flight=upstream.in_flight,
         )
 
     def _index(self) -> None:
--- a/src/wardstair/state/contact.py
+++ b/src/wardstair/state/contact.py
@@ -23,8 +23,8 @@
 
     Attributes:
         is_lost: Whether the store has failed to answer since it last did.
-        is_doubted: Whether a watch is late, and no answer has come since.
-        on_doubt: Called when a doubt begins or ends.
+        is_suspect: Whether a watch is late, and no answer has come since.
+        on_suspect: Called when a doubt begins or ends.
     """
 
     def __init__(self, clock: Callable[[], float], random: Random) -> None:
@@ -35,8 +35,8 @@
             random: Source of jitter.
         """
         self.is_lost = False
-        self.is_doubted = False
-        self.on_doubt: Callable[[], None] = ignore
+        self.is_suspect = False
+        self.on_suspect: Callable[[], None] = ignore
         self.heard_at: float | None = None
         # Era of the store as its answers tell it; 0 before the first.
         self.era = 0
@@ -44,7 +44,7 @@
         # Contact of other hosts, as they told it.
         self.others: Callable[[], Iterable[ContactSpan]] = tuple
         # Returns for how long the store may be away without an entry lapsing.
-        self.harmless_seconds: Callable[[], float] = lambda: 0.0
+        self.tolerated_outage_seconds: Callable[[], float] = lambda: 0.0
         self._clock = clock
         self._random = random
         self._lost_at = 0.0
@@ -57,7 +57,7 @@
         self._regained: asyncio.Future[None] | None = None
 
     @property
-    def was_away_lately(self) -> bool:
+    def was_lost_recently(self) -> bool:
         """Whether entries may have lapsed though their upstreams live."""
         if self.is_lost:
             return True
@@ -65,11 +65,11 @@
         back_at = self._back_at
         if back_at is None or now - back_at >= RETURN_SECONDS:
             return False
-        times = LapseTimes(self.harmless_seconds(), RETURN_SECONDS)
+        times = LapseTimes(self.tolerated_outage_seconds(), RETURN_SECONDS)
         return not are_entries_back(self.others(), times, now)
 
     @property
-    def span(self) -> ContactSpan | None:
+    def contact_period(self) -> ContactSpan | None:
         """Time of uninterrupted contact up to the last answer, if there is any.
 
         Answers too far apart interrupt it: nobody knows what was between.
@@ -103,7 +103,9 @@
         """Note that the store answered."""
         now = self._clock()
         before = self.heard_at
-        is_gap = before is None or now - before > self.harmless_seconds()
+        is_gap = (
+            before is None or now - before > self.tolerated_outage_seconds()
+        )
         if is_gap or self.is_lost:
             self._held_since = now
         self.heard_at = now
@@ -120,16 +122,16 @@
             log_event('store-regained', away=away)
             self.renew_watches()
 
-    def note_doubt(self) -> None:
+    def note_late_watch(self) -> None:
         """Note that a watch is late: its connection may carry nothing more.
 
         All watches are renewed, as whatever ended one may have ended others.
         """
-        if self.is_doubted or self.is_lost:
+        if self.is_suspect or self.is_lost:
             return
-        self.is_doubted = True
+        self.is_suspect = True
         self.renew_watches()
-        self.on_doubt()
+        self.on_suspect()
 
     def renew_watches(self) -> None:
         """Have all waiting watches begin anew on new connections."""
@@ -173,9 +175,9 @@
         self._changed.set()
 
     def _end_doubt(self) -> None:
-        if self.is_doubted:
-            self.is_doubted = False
-            self.on_doubt()
+        if self.is_suspect:
+            self.is_suspect = False
+            self.on_suspect()
 
     def _pause(self) -> float:
         grown = FIRST_PAUSE_SECONDS * 2.0 ** max(0, self._failures - 1)
--- a/src/wardstair/state/exchange.py
+++ b/src/wardstair/state/exchange.py
@@ -39,10 +39,10 @@
     StoredObject,
 )
 from wardstair.process.log import log_event, log_warning
-from wardstair.state.belief import OTHER_HOST, Belief
 from wardstair.state.catalog import CatalogChanges
 from wardstair.state.contact import StoreContact
 from wardstair.state.limits import SharedLimit
+from wardstair.state.local_state import PEER_SOURCE_PREFIX, LocalState
 from wardstair.state.roles import Roles, ignore
 
 STATE_PATH = '/v1/state'
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class StateUpdate:
     """What has changed of what all hosts should know.
 
     Attributes:
@@ -122,12 +122,12 @@
     Attributes:
         fetches: Fetches begun.
         failures: Fetches that brought nothing, by reason.
-        on_news: Called when a fetch has brought something.
+        on_update: Called when a fetch has brought something.
     """
 
     def __init__(
         self,
-        belief: Belief,
+        local_state: LocalState,
         contact: StoreContact,
         port: int,
         roles: Roles,
@@ -137,7 +137,7 @@
         """Prepare without a connection.
 
         Args:
-            belief: What this host holds to be true.
+            local_state: What this host holds to be true.
             contact: Contact with the store.
             port: Port of all hosts for state.
             roles: What this host does for others.
@@ -146,10 +146,10 @@
         """
         self.fetches = 0
         self.failures = Counter[FetchFailure]()
-        self.on_news: Callable[[], None] = ignore
+        self.on_update: Callable[[], None] = ignore
         # Sends a request to another host.
         self.ask: Callable[[HTTPRequest], Awaitable[HTTPResponse]] = self._ask
-        self._belief = belief
+        self._local_state = local_state
         self._contact = contact
         self._port = port
         self._roles = roles
@@ -191,11 +191,11 @@
         Args:
             theirs: How far the other is.
         """
-        belief = self._belief
-        own = belief.versions
+        local_state = self._local_state
+        own = local_state.versions
         configuration = None
         if own.configuration > theirs.configuration:
-            stored = belief.document
+            stored = local_state.document
             assert stored is not None
             configuration = SharedConfiguration(
                 stored.revision,
@@ -205,56 +205,56 @@
         if own.evacuations > theirs.evacuations:
             evacuations = SharedEvacuations(
                 own.evacuations,
-                tuple(sorted(belief.listed_zones)),
+                tuple(sorted(local_state.listed_zones)),
             )
         upstreams = None
         if own.upstreams > theirs.upstreams:
-            upstreams = belief.upstreams_since(theirs.upstreams)
+            upstreams = local_state.upstreams_since(theirs.upstreams)
         suspects: Mapping[str, Evidence] = {}
         if own.suspects != theirs.suspects:
-            suspects = belief.suspects.records
+            suspects = local_state.suspects.records
         limits: Mapping[str, SharedLimit] = {}
         if own.limits != theirs.limits:
-            limits = belief.limits.shared
+            limits = local_state.limits.shared
         state = SharedState(
             configuration,
             evacuations,
             upstreams,
             suspects,
             limits,
-            belief.shared_restore,
-            self._belief.age.told,
+            local_state.shared_restore,
+            self._local_state.age.reportable,
         )
         return self._encoder.encode(state)
 
-    def take_news(self) -> News | None:
+    def take_update(self) -> StateUpdate | None:
         """Return what has changed since the last call; None for nothing.
 
         A configuration is always fetched.
         """
-        belief = self._belief
+        local_state = self._local_state
         told = self._told
-        own = belief.versions
+        own = local_state.versions
         self._told = own
         evacuations = None
         if own.evacuations > told.evacuations:
-            zones = tuple(sorted(belief.listed_zones))
+            zones = tuple(sorted(local_state.listed_zones))
             evacuations = SharedEvacuations(own.evacuations, zones)
         upstreams = None
         if own.upstreams > told.upstreams:
-            upstreams = belief.upstreams_since(told.upstreams)
+            upstreams = local_state.upstreams_since(told.upstreams)
         if evacuations is None and upstreams is None:
             is_newer = own.configuration > told.configuration
-            return News() if is_newer else None
+            return StateUpdate() if is_newer else None
         state = SharedState(
             evacuations=evacuations,
             upstreams=upstreams,
-            restore=belief.shared_restore,
+            restore=local_state.shared_restore,
         )
         encoded = self._encoder.encode(state)
-        return News(encoded if len(encoded) <= _DATAGRAM_BYTES else None)
+        return StateUpdate(encoded if len(encoded) <= _DATAGRAM_BYTES else None)
 
-    def take_datagram(self, datagram: bytes) -> bool:
+    def receive_datagram(self, datagram: bytes) -> bool:
         """Take in news that another host has sent.
 
         Returns:
@@ -268,7 +268,7 @@
         return True
 
     def _is_news(self, state: SharedState) -> bool:
-        own = self._belief.versions
+        own = self._local_state.versions
         evacuations = state.evacuations
         if evacuations is not None and evacuations.revision > own.evacuations:
             return True
@@ -278,13 +278,13 @@
         # What begins later than what this host knows would leave a gap.
         return upstreams.since <= own.upstreams
 
-    def on_beat(self, beat: Beat) -> None:
+    def on_heartbeat(self, beat: Beat) -> None:
         """Fetch from a host that is ahead or differs, if none is asked now."""
         if beat.state_age is not None and not self._is_behind(beat.versions):
             is_near = beat.sender.zone == self._zone
             way = way_seconds(is_near=is_near)
             told = replace(beat.state_age, seconds=beat.state_age.seconds + way)
-            self._belief.age.note_told(told)
+            self._local_state.age.note_reported(told)
         self._classify(beat)
         self._start_asking()
 
@@ -312,7 +312,7 @@
         again for what brought nothing.
         """
         theirs = _digests_of(beat.versions)
-        own = _digests_of(self._belief.versions)
+        own = _digests_of(self._local_state.versions)
         if self._compared.get(beat.sender.name) == (theirs, own):
             return False
         has_suspects = theirs.suspects not in {0, own.suspects}
@@ -321,7 +321,7 @@
         return has_suspects or has_limits or has_kept
 
     def _is_behind(self, theirs: Versions) -> bool:
-        own = self._belief.versions
+        own = self._local_state.versions
         if theirs.configuration > own.configuration:
             return True
         if theirs.evacuations > own.evacuations:
@@ -386,7 +386,7 @@
         """Return whether a watch of this host may bring what another has."""
         if not self._contact.is_held:
             return False
-        own = self._belief.versions
+        own = self._local_state.versions
         if theirs.configuration > own.configuration:
             return self._roles.is_relay()
         if theirs.evacuations > own.evacuations:
@@ -444,20 +444,20 @@
             self._take_in(fetched.ok_value, beat.sender.name)
             and age is not None
         ):
-            self._belief.age.note_told(age, asked_at)
-        if self._belief.suspects.take_in(fetched.ok_value.suspects):
+            self._local_state.age.note_reported(age, asked_at)
+        if self._local_state.suspects.add_evidence(fetched.ok_value.suspects):
             log_event(
                 'suspects-adopted',
                 count=len(fetched.ok_value.suspects),
                 source=beat.sender.name,
             )
-        self._belief.limits.take_in(
+        self._local_state.limits.merge_peer_limits(
             fetched.ok_value.limits,
             beat.sender.name,
         )
         self._compared[beat.sender.name] = (
             _digests_of(beat.versions),
-            _digests_of(self._belief.versions),
+            _digests_of(self._local_state.versions),
         )
         self._compared_at = asyncio.get_running_loop().time()
 
@@ -466,7 +466,7 @@
 
     async def _fetch(self, address: str) -> Result[SharedState, _FailedFetch]:
         self.fetches += 1
-        own = encode_versions(self._belief.versions)
+        own = encode_versions(self._local_state.versions)
         request = HTTPRequest(
             f'http://{address}:{self._port}{STATE_PATH}?have={own}',
             connect_timeout=CONNECT_SECONDS,
@@ -488,11 +488,11 @@
 
     def _take_in(self, state: SharedState, host: str) -> bool:
         """Take in what another host told; return whether all of it fits."""
-        source = f'{OTHER_HOST}{host}'
-        belief = self._belief
+        source = f'{PEER_SOURCE_PREFIX}{host}'
+        local_state = self._local_state
         restore = state.restore
         if restore is not None:
-            belief.restoration.take_over(restore.era, restore.age)
+            local_state.restoration.merge_peer_report(restore.era, restore.age)
         if state.configuration is not None:
             stored = StoredObject(
                 metadata=Metadata(
@@ -502,17 +502,17 @@
                 spec=state.configuration.document,
                 era=state.configuration.revision.era,
             )
-            belief.offer_configuration(stored, source)
+            local_state.offer_configuration(stored, source)
         if state.evacuations is not None:
-            belief.set_evacuated(
+            local_state.set_evacuated(
                 state.evacuations.zones,
                 state.evacuations.revision,
                 source,
             )
         if restore is not None:
-            belief.keep_evacuated(restore.zones, restore.era)
+            local_state.keep_evacuated(restore.zones, restore.era)
         is_whole = self._take_in_upstreams(state.upstreams, source)
-        self.on_news()
+        self.on_update()
         return is_whole
 
     def _take_in_upstreams(
@@ -522,7 +522,7 @@
     ) -> bool:
         if changes is None:
             return True
-        catalog = self._belief.catalog
+        catalog = self._local_state.catalog
         if changes.revision <= catalog.revision:
             log_event(
                 'news-ignored',
@@ -532,7 +532,7 @@
                 source=source,
             )
             return True
-        if not catalog.take_over(changes):
+        if not catalog.merge_peer_changes(changes):
             return False
         log_event(
             'upstreams-adopted',
@@ -541,7 +541,7 @@
             count=len(changes.entries),
             removed=len(changes.removed),
             source=source,
-            age=round(self._belief.age.seconds, 3),
+            age=round(self._local_state.age.seconds, 3),
         )
         return True
 
--- a/src/wardstair/state/limits.py
+++ b/src/wardstair/state/limits.py
@@ -119,7 +119,9 @@
         news = NamedLimit(born, rate, self.clock())
         self._put(upstream.name, news, 'answer')
 
-    def take_in(self, told: Mapping[str, SharedLimit], source: str) -> None:
+    def merge_peer_limits(
+        self, told: Mapping[str, SharedLimit], source: str
+    ) -> None:
         """Take in what another host knows.
 
         Args:
--- a/src/wardstair/state/belief.py
+++ b/src/wardstair/state/local_state.py
@@ -25,20 +25,20 @@
 from wardstair.state.entries import UpstreamEntry
 from wardstair.state.limits import LimitTable
 from wardstair.state.notices import NoticeTable
-from wardstair.state.reach import ReachTable
+from wardstair.state.reachability import ReachabilityTable
 from wardstair.state.restoration import Restoration
 from wardstair.state.revision import NO_REVISION, Revision
 from wardstair.state.suspects import SuspectTable
 from wardstair.version.steering import Steering
 
 # Begin of the source of what another host has told.
-OTHER_HOST = 'host:'
+PEER_SOURCE_PREFIX = 'host:'
 # What is followed for all hosts, and what the age of the state is of.
 STEERING_KINDS = (CONFIGURATION_KIND, EVACUATION_KIND, UPSTREAM_KIND)
 
 
 @dataclass(slots=True)
-class Belief:
+class LocalState:
     """The state of one host.
 
     Attributes:
@@ -56,7 +56,7 @@
         limits: Limits that upstreams name.
         notices: What upstreams have said of further requests.
         on_steering: Called when a version is adopted.
-        reach: Upstreams that this host reaches.
+        reachability: Upstreams that this host reaches.
         age: Up to which moment all of this is known.
     """
 
@@ -73,14 +73,14 @@
     limits: LimitTable = field(default_factory=LimitTable)
     notices: NoticeTable = field(default_factory=NoticeTable)
     on_steering: Callable[[], None] = field(default=lambda: None)
-    reach: ReachTable = field(init=False)
+    reachability: ReachabilityTable = field(init=False)
     age: StateAge = field(init=False)
     # Listed in this era and then not any more: ended, whoever keeps them.
     _ended_zones: frozenset[str] = frozenset()
 
     def __post_init__(self) -> None:
         """Begin with everything within reach."""
-        self.reach = ReachTable(self.catalog)
+        self.reachability = ReachabilityTable(self.catalog)
         self.age = StateAge(self.clock, STEERING_KINDS)
 
     @property
@@ -190,7 +190,7 @@
             # The revision of the change stays, so that each reading does not
             # make this host look ahead of the others. What another host tells
             # is taken over: hosts that listed at different times agree then.
-            if source.startswith(OTHER_HOST):
+            if source.startswith(PEER_SOURCE_PREFIX):
                 self.evacuations_revision = revision
             return False
         self.evacuations_revision = revision
@@ -222,9 +222,9 @@
         settled = self.listed_zones | self._ended_zones
         kept = self.kept_zones | (frozenset(zones) - settled)
         if kept != self.kept_zones:
-            self._evacuate(kept, OTHER_HOST)
+            self._evacuate(kept, PEER_SOURCE_PREFIX)
 
-    def end_restore(self) -> None:
+    def expire_kept_zones(self) -> None:
         """Give up what a restored store lacks and nobody wrote again."""
         if self.kept_zones and not self.restoration.is_recent:
             self._evacuate(frozenset(), 'not-written-again')
--- a/src/wardstair/state/notices.py
+++ b/src/wardstair/state/notices.py
@@ -14,7 +14,7 @@
 from wardstair.state.upstream import Upstream
 
 # Nothing is paused for longer than a day, whatever an answer names.
-MOST_PAUSE_SECONDS = 86_400.0
+MAX_PAUSE_SECONDS = 86_400.0
 # How long the notices of upstreams without an entry are kept. A store that was
 # restored from a copy may list such an upstream again.
 REMEMBERED_SECONDS = 600.0
@@ -43,12 +43,12 @@
         clock: Monotonic time in seconds.
         drain_seconds: Returns the time after which an upstream that leaves
             must not get any more.
-        told: Answers with a notice, by its kind.
+        counts: Answers with a notice, by its kind.
     """
 
     clock: Callable[[], float] = time.monotonic
     drain_seconds: Callable[[], float] = lambda: 0.0
-    told: Counter[Standing] = field(default_factory=Counter)
+    counts: Counter[Standing] = field(default_factory=Counter)
     _rows: dict[str, _Row] = field(default_factory=dict)
 
     @property
@@ -64,7 +64,7 @@
         """
         return self._known(upstream) or Notice()
 
-    def standing(self, upstream: Upstream) -> Standing:
+    def availability(self, upstream: Upstream) -> Standing:
         """Return what a life of an upstream takes from this host now.
 
         Args:
@@ -81,7 +81,7 @@
         Args:
             upstream: The life whose answer it is.
         """
-        self.told[Standing.leaving] += 1
+        self.counts[Standing.leaving] += 1
         row = self._row_of(upstream)
         if row is None or row.notice.leaving_since is not None:
             return
@@ -90,7 +90,7 @@
             'upstream-leaving',
             upstream=upstream.name,
             service=upstream.entry.service,
-            in_flight=upstream.own,
+            in_flight=upstream.in_flight,
         )
 
     def note_pause(self, upstream: Upstream, seconds: float) -> None:
@@ -102,7 +102,7 @@
             upstream: The life whose answer it is.
             seconds: How long, from now.
         """
-        self.told[Standing.paused] += 1
+        self.counts[Standing.paused] += 1
         row = self._row_of(upstream)
         if row is None or seconds <= 0:
             return
@@ -113,9 +113,9 @@
                 upstream=upstream.name,
                 service=upstream.entry.service,
                 seconds=seconds,
-                in_flight=upstream.own,
+                in_flight=upstream.in_flight,
             )
-        end = row.noted_at + min(seconds, MOST_PAUSE_SECONDS)
+        end = row.noted_at + min(seconds, MAX_PAUSE_SECONDS)
         notice.paused_until = max(notice.paused_until, end)
 
     def forget(self, names: Collection[str]) -> None:
--- a/src/wardstair/state/reach.py
+++ b/src/wardstair/state/reachability.py
@@ -31,32 +31,32 @@
 
 
 @dataclass(slots=True)
-class ReachTable:
+class ReachabilityTable:
     """What this host reaches; one a process.
 
     Attributes:
         catalog: The upstreams.
         lost: Groups of which no upstream is reached; only `ALL` if it is that.
-        is_doubted: Whether upstreams may have gone out of reach just now.
+        is_suspect: Whether upstreams may have gone out of reach just now.
         answers: Answers of upstreams so far.
-        doubts: How often reach came to be in doubt.
+        suspect_count: How often reach came to be in doubt.
         opening: What new connections have shown.
         times: Returns how long to wait for what.
-        on_doubt: Called when a doubt begins.
-        on_opening_doubt: Called when a doubt of new connections begins.
+        on_suspect: Called when a doubt begins.
+        on_opening_suspect: Called when a doubt of new connections begins.
         on_change: Called when `lost` has changed.
         on_regained: Called with the groups that are reached again.
     """
 
     catalog: Catalog
     lost: frozenset[str] = frozenset()
-    is_doubted: bool = False
+    is_suspect: bool = False
     answers: int = 0
-    doubts: int = 0
+    suspect_count: int = 0
     opening: OpeningReach = field(default_factory=OpeningReach)
     times: Callable[[], ReachTimes] = lambda: reach_times(DEFAULT_CONTACT)
-    on_doubt: Callable[[], None] = ignore
-    on_opening_doubt: Callable[[], None] = ignore
+    on_suspect: Callable[[], None] = ignore
+    on_opening_suspect: Callable[[], None] = ignore
     on_change: Callable[[], None] = ignore
     on_regained: Callable[[frozenset[str]], None] = lambda _groups: None
     _watch: SilenceWatch = field(default_factory=SilenceWatch)
@@ -68,7 +68,7 @@
     @property
     def is_sound(self) -> bool:
         """Whether nothing is lost or in doubt."""
-        return not (self.lost or self.is_doubted)
+        return not (self.lost or self.is_suspect)
 
     @property
     def is_cut_off(self) -> bool:
@@ -115,7 +115,7 @@
         """Return whether upstreams of a service may be within reach."""
         if self.is_sound:
             return True
-        if self.is_doubted or ALL in self.lost:
+        if self.is_suspect or ALL in self.lost:
             return False
         return service_group(service) not in self.lost
 
@@ -126,7 +126,7 @@
     def note_reached(self, entry: UpstreamEntry) -> None:
         """Note that an upstream has answered."""
         self.answers += 1
-        self.is_doubted = False
+        self.is_suspect = False
         now = self.catalog.clock()
         for group in self._groups_of(entry):
             group.note_reached(now)
@@ -143,7 +143,7 @@
         if not may_be_lost or self.is_cut_off:
             return
         if self._group(ALL).is_suspected(now):
-            self.begin_doubt('failures')
+            self.mark_suspect('failures')
         self._settle()
 
     def may_open(self, entry: UpstreamEntry) -> bool:
@@ -167,33 +167,33 @@
         self._settle_opening()
         if opening.begin_doubt():
             log_event('opening-doubted', upstream=entry.name)
-            self.on_opening_doubt()
+            self.on_opening_suspect()
 
-    def end_opening_doubt(self) -> None:
+    def clear_opening_suspect(self) -> None:
         """Note that upstreams were asked on new connections."""
         self.opening.is_doubted = False
 
-    def begin_doubt(self, reason: str) -> None:
+    def mark_suspect(self, reason: str) -> None:
         """Note that no upstream may be within reach.
 
         Args:
             reason: Why, for the log.
         """
-        if self.is_doubted or self.is_cut_off:
+        if self.is_suspect or self.is_cut_off:
             return
-        self.is_doubted = True
-        self.doubts += 1
+        self.is_suspect = True
+        self.suspect_count += 1
         log_event(
             'reach-doubted',
             reason=reason,
             silent=round(self.silent_seconds, 3),
             failed=','.join(sorted(self._group(ALL).failed)),
         )
-        self.on_doubt()
+        self.on_suspect()
 
-    def end_doubt(self) -> None:
+    def clear_suspect(self) -> None:
         """Note that nothing has confirmed a doubt."""
-        self.is_doubted = False
+        self.is_suspect = False
 
     def refresh(self) -> None:
         """Forget upstreams that take no work any more."""
@@ -226,7 +226,7 @@
         if self.lost == before:
             return
         if self.is_cut_off:
-            self.is_doubted = False
+            self.is_suspect = False
         log_warning(
             'reach-changed',
             lost=','.join(sorted(self.lost)),
--- a/src/wardstair/state/refreshing.py
+++ b/src/wardstair/state/refreshing.py
@@ -6,8 +6,8 @@
 from wardstair.decisions.state_age import RefreshTimes, ask_after, may_ask
 from wardstair.decisions.timing import SETTLE_SECONDS
 from wardstair.process.log import log_event
-from wardstair.state.belief import Belief
 from wardstair.state.contact import StoreContact
+from wardstair.state.local_state import LocalState
 from wardstair.state.roles import Roles
 from wardstair.state.sync import StoreSync
 
@@ -22,7 +22,7 @@
     def __init__(
         self,
         sync: StoreSync,
-        belief: Belief,
+        local_state: LocalState,
         contact: StoreContact,
         roles: Roles,
         times: Callable[[], RefreshTimes],
@@ -31,14 +31,14 @@
 
         Args:
             sync: Asks the store.
-            belief: The state.
+            local_state: The state.
             contact: Contact with the store.
             roles: What this host does for others.
             times: When the state is too old, by the bounds in force.
         """
         self.asked = 0
         self._sync = sync
-        self._belief = belief
+        self._local_state = local_state
         self._contact = contact
         self._roles = roles
         self._times = times
@@ -58,14 +58,14 @@
         while True:
             times = self._times()
             await asyncio.sleep(times.look)
-            self._belief.age.look(times.look)
-            is_new_sentinel = self._sync.follow_role()
+            self._local_state.age.tick(times.look)
+            is_new_sentinel = self._sync.update_role()
             # While a fleet starts, each host is a sentinel for a moment.
             if self._has_begun() and (is_new_sentinel or self._is_old(times)):
                 self._ask()
 
     def _is_old(self, times: RefreshTimes) -> bool:
-        age = self._belief.age.seconds
+        age = self._local_state.age.seconds
         if age < times.ask_telling:
             return False
         since = asyncio.get_running_loop().time() - self._asked_at
@@ -73,7 +73,7 @@
         return age >= ask and may_ask(len(self._asking), since, times.again)
 
     def _has_begun(self) -> bool:
-        if self._belief.steering is None:
+        if self._local_state.steering is None:
             return False
         now = asyncio.get_running_loop().time()
         if self._began_at is None:
@@ -85,7 +85,7 @@
             # Whoever asks whether the store is back reads what has changed.
             return
         if not self._asking:
-            log_event('state-old', age=round(self._belief.age.seconds, 3))
+            log_event('state-old', age=round(self._local_state.age.seconds, 3))
         self._asked_at = asyncio.get_running_loop().time()
         self.asked += 1
         task = asyncio.ensure_future(self._sync.check())
--- a/src/wardstair/state/removals.py
+++ b/src/wardstair/state/removals.py
@@ -7,7 +7,7 @@
 from wardstair.state.revision import NO_REVISION, Revision
 
 # One that asks from further back gets the whole list.
-MOST_REMOVED = 512
+MAX_REMOVALS = 512
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
     _complete_from: Revision = NO_REVISION
 
     @property
-    def lives(self) -> Mapping[str, int]:
+    def incarnations(self) -> Mapping[str, int]:
         """The life that was removed last, by name."""
         return {one.name: one.born for one in self._removals}
 
@@ -44,7 +44,7 @@
     def note(self, removal: Removal) -> None:
         """Add a removal; the oldest one goes if there are too many."""
         self._removals.append(removal)
-        if len(self._removals) > MOST_REMOVED:
+        if len(self._removals) > MAX_REMOVALS:
             first = self._removals.popleft().revision
             self._complete_from = replace(first, number=first.number + 1)
 
--- a/src/wardstair/state/restoration.py
+++ b/src/wardstair/state/restoration.py
@@ -82,7 +82,7 @@
             self.began_at = self.clock()
             self.is_assumed = True
 
-    def take_over(self, era: int, age: float) -> None:
+    def merge_peer_report(self, era: int, age: float) -> None:
         """Take in what another host tells of the restore.
 
         The earliest notice counts. A host that has the store back late would
--- a/src/wardstair/state/doubts.py
+++ b/src/wardstair/state/stale_entries.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Doubts:
+class StaleEntries:
     """Entries that are not believed while a restore is recent."""
 
     _entries: dict[str, UpstreamEntry] = field(default_factory=dict)
--- a/src/wardstair/state/suspect_sharing.py
+++ b/src/wardstair/state/suspect_sharing.py
@@ -24,10 +24,10 @@
 from wardstair.platform.store_answers import Changes, Listing
 from wardstair.process.log import log_event
 from wardstair.state.contact import StoreContact
-from wardstair.state.following import Follower, FollowPlan, FollowSinks
 from wardstair.state.revision import NO_REVISION, Revision
 from wardstair.state.roles import Roles
 from wardstair.state.suspects import SuspectTable
+from wardstair.state.watching import KindWatcher, WatchPlan, WatchSinks
 
 # Sentinels that learn of the same wait up to this long, so that mostly one of
 # them writes; with the watch that follows, others know within 0.5 s.
@@ -59,11 +59,11 @@
             random: Source of the spread of writes.
         """
         self.changed = asyncio.Event()
-        self.follower = Follower(
+        self.watcher = KindWatcher(
             store,
             contact,
-            FollowPlan(SUSPECTS_KIND, is_wanted=roles.is_sentinel),
-            FollowSinks(self._list, self._change, _pass_revision),
+            WatchPlan(SUSPECTS_KIND, is_wanted=roles.is_sentinel),
+            WatchSinks(self._list, self._change, _pass_revision),
         )
         self._store = store
         self._contact = contact
@@ -79,7 +79,7 @@
         """Whether this host has something that the object lacks."""
         if not self._roles.is_sentinel() or not self._contact.is_held:
             return False
-        return self.follower.has_listed and any(
+        return self.watcher.has_listed and any(
             not _covers(self._stored.get(request), one)
             for request, one in self._suspects.shared.items()
         )
@@ -179,7 +179,7 @@
             log_event('suspects-unreadable', revision=revision)
             return
         self._stored = told
-        self._suspects.take_in(told)
+        self._suspects.add_evidence(told)
 
 
 def _covers(stored: Evidence | None, known: Evidence) -> bool:
--- a/src/wardstair/state/suspects.py
+++ b/src/wardstair/state/suspects.py
@@ -28,11 +28,11 @@
 # About 1 KB each, with four lives that no other has (tracemalloc): 0.5 MB. A
 # caller that draws ever new requests pushes out those with the fewest lives
 # first.
-MOST_RECORDS = 512
+MAX_RECORDS = 512
 # What is left when there is no more room; sorting them takes 2 ms.
-KEPT_RECORDS = MOST_RECORDS * 7 // 8
+KEPT_RECORDS = MAX_RECORDS * 7 // 8
 # Lives that are kept of one request; the rest proves nothing more.
-MOST_LIVES = 32
+MAX_INCARNATIONS = 32
 # Digests travel in heartbeats and in a query.
 _DIGEST_MASK = 2**48 - 1
 
@@ -89,23 +89,23 @@
     def note_ended(self, requests: Iterable[str], life: str) -> None:
         """Note that an upstream ended while it had these requests."""
         seen = Evidence({life: int(self.today())})
-        self.take_in(dict.fromkeys(requests, seen))
+        self.add_evidence(dict.fromkeys(requests, seen))
 
     def note_answered(self, request: str, life: str) -> None:
         """Note that an upstream answered a request that is suspected."""
         known = self.records.get(request)
         if known is not None and life not in known.answered:
             answered = Evidence(answered=frozenset((life,)))
-            self.take_in({request: answered})
+            self.add_evidence({request: answered})
 
     def lift(self, request: str) -> bool:
         """Set aside what is known of a request; return whether any is."""
         if request not in self.records:
             return False
-        self.take_in({request: Evidence(lifted_at=int(self.today()))})
+        self.add_evidence({request: Evidence(lifted_at=int(self.today()))})
         return True
 
-    def take_in(self, told: Mapping[str, Evidence]) -> bool:
+    def add_evidence(self, told: Mapping[str, Evidence]) -> bool:
         """Take in evidence, of this host or others; return whether it is news.
 
         Args:
@@ -122,7 +122,7 @@
             self._put(request, merge(known, news))
             for life in news.ended.keys() - known.ended.keys():
                 self.on_ended(life)
-        if len(self.records) > MOST_RECORDS:
+        if len(self.records) > MAX_RECORDS:
             self.expire()
         self._settle()
         if self.digest == before:
@@ -140,7 +140,7 @@
         ]
         for request in old:
             self._put(request, None)
-        if len(self.records) > MOST_RECORDS:
+        if len(self.records) > MAX_RECORDS:
             ranked = sorted(self.records.items(), key=_worth)
             for request, _ in ranked[: len(ranked) - KEPT_RECORDS]:
                 self._put(request, None)
@@ -211,9 +211,9 @@
 
 def _bounded(known: Evidence, told: Evidence) -> Evidence:
     """Return what is told, without more lives than are kept."""
-    if len(known.ended) >= MOST_LIVES:
+    if len(known.ended) >= MAX_INCARNATIONS:
         told = replace(told, ended={})
-    if len(known.answered) >= MOST_LIVES:
+    if len(known.answered) >= MAX_INCARNATIONS:
         told = replace(told, answered=frozenset())
     return told
 
--- a/src/wardstair/state/sync.py
+++ b/src/wardstair/state/sync.py
@@ -22,18 +22,18 @@
     decode_upstream_entry,
 )
 from wardstair.process.log import log_event, log_warning
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import RETURN_SECONDS
 from wardstair.state.contact import StoreContact
 from wardstair.state.entries import UpstreamEntry
-from wardstair.state.following import (
-    WATCH_SECONDS,
-    Follower,
-    FollowPlan,
-    FollowSinks,
-)
+from wardstair.state.local_state import LocalState
 from wardstair.state.revision import NO_REVISION, Revision
 from wardstair.state.roles import Roles, ignore
+from wardstair.state.watching import (
+    WATCH_SECONDS,
+    KindWatcher,
+    WatchPlan,
+    WatchSinks,
+)
 
 # How long another watch may take to bring a change that the revision tells of.
 LAG_SECONDS = 0.15
@@ -46,7 +46,7 @@
         self,
         store: Store,
         contact: StoreContact,
-        belief: Belief,
+        local_state: LocalState,
         roles: Roles,
         timing: Callable[[], Timing],
     ) -> None:
@@ -55,15 +55,15 @@
         Args:
             store: The store.
             contact: Contact with it.
-            belief: Where news goes.
+            local_state: Where news goes.
             roles: What this host does for others.
             timing: How often it looks, by the bounds in force.
         """
         self._store = store
         self._contact = contact
-        self._belief = belief
-        belief.catalog.knows_lapses = self._knows_lapses
-        self.on_news: Callable[[], None] = ignore
+        self._local_state = local_state
+        local_state.catalog.rules_out_expiry = self._knows_lapses
+        self.on_update: Callable[[], None] = ignore
         # Entries of the store that name no upstream, and why.
         self.unusable: dict[str, UnusableEntry] = {}
         self._evacuated: set[str] = set()
@@ -71,53 +71,53 @@
         self._timing = timing
         self._checking: asyncio.Task[None] | None = None
         self._was_sentinel = False
-        self.configuration = Follower(
+        self.configuration = KindWatcher(
             store,
             contact,
-            FollowPlan(CONFIGURATION_KIND, is_wanted=roles.is_relay),
-            FollowSinks(
+            WatchPlan(CONFIGURATION_KIND, is_wanted=roles.is_relay),
+            WatchSinks(
                 self._list_configuration,
                 self._change_configuration,
                 self._note_revision,
-                partial(belief.age.note_read, CONFIGURATION_KIND),
+                partial(local_state.age.note_read, CONFIGURATION_KIND),
             ),
         )
-        self.evacuations = Follower(
+        self.evacuations = KindWatcher(
             store,
             contact,
-            FollowPlan(
+            WatchPlan(
                 EVACUATION_KIND,
                 is_wanted=roles.is_relay,
                 wait=self._evacuation_wait,
                 slack=self._evacuation_slack,
             ),
-            FollowSinks(
+            WatchSinks(
                 self._list_evacuations,
                 self._change_evacuations,
                 self._note_revision,
-                partial(belief.age.note_read, EVACUATION_KIND),
+                partial(local_state.age.note_read, EVACUATION_KIND),
             ),
         )
-        self.upstreams = Follower(
+        self.upstreams = KindWatcher(
             store,
             contact,
-            FollowPlan(
+            WatchPlan(
                 UPSTREAM_KIND,
                 pause=lambda: timing().pause,
                 is_wanted=self._wants_upstreams,
                 look=lambda: timing().role_look,
                 resumes=True,
             ),
-            FollowSinks(
+            WatchSinks(
                 self._list_upstreams,
                 self._change_upstreams,
                 self._note_revision,
-                partial(belief.age.note_read, UPSTREAM_KIND),
+                partial(local_state.age.note_read, UPSTREAM_KIND),
             ),
         )
 
     @property
-    def followers(self) -> tuple[Follower, ...]:
+    def watchers(self) -> tuple[KindWatcher, ...]:
         """Those of the three kinds that steer."""
         return self.configuration, self.evacuations, self.upstreams
 
@@ -126,7 +126,7 @@
         if self._checking is not None:
             self._checking.cancel()
 
-    def follow_role(self) -> bool:
+    def update_role(self) -> bool:
         """Begin the clock of a sentinel if this host has just become one.
 
         The clock is a short watch of the evacuations (`_evacuation_wait`). The
@@ -145,9 +145,9 @@
     async def check(self) -> None:
         """Ask the store for all that this host may not know."""
         self._skip_to_known()
-        await asyncio.gather(*(one.check() for one in self.followers))
+        await asyncio.gather(*(one.check() for one in self.watchers))
 
-    async def prove_contact(self) -> None:
+    async def probe_contact(self) -> None:
         """Prove contact by cheap reads until cancelled.
 
         A waiting watch does not tell a store that has nothing to say from one
@@ -198,8 +198,8 @@
 
     def _skip_to_known(self) -> None:
         """Go on from what others have told beyond this host's own watch."""
-        if self._belief.catalog.revision != NO_REVISION:
-            self.upstreams.skip_to(self._belief.catalog.revision)
+        if self._local_state.catalog.revision != NO_REVISION:
+            self.upstreams.skip_to(self._local_state.catalog.revision)
 
     def _note_revision(self, revision: Revision) -> None:
         """Ask for what watches have not brought and the revision tells of."""
@@ -209,22 +209,22 @@
         if self._checking is None or self._checking.done():
             self._checking = asyncio.ensure_future(self._check(revision))
 
-    def _behind(self, revision: Revision) -> list[Follower]:
+    def _behind(self, revision: Revision) -> list[KindWatcher]:
         self._skip_to_known()
-        return [one for one in self.followers if one.may_lack(revision)]
+        return [one for one in self.watchers if one.may_lack(revision)]
 
     async def _check(self, revision: Revision) -> None:
         await asyncio.sleep(LAG_SECONDS)
         behind = self._behind(revision)
-        await asyncio.gather(*(follower.check() for follower in behind))
+        await asyncio.gather(*(watcher.check() for watcher in behind))
 
     def _list_configuration(self, listing: Listing) -> None:
         for stored in listing.objects:
             self._offer(stored, 'listing')
 
     def _offer(self, stored: StoredObject, source: str) -> None:
-        if self._belief.offer_configuration(stored, source):
-            self.on_news()
+        if self._local_state.offer_configuration(stored, source):
+            self.on_update()
 
     def _change_configuration(self, changes: Changes) -> None:
         for change in changes.changes:
@@ -245,11 +245,11 @@
         self._tell_evacuated(changes.revision, 'watch')
 
     def _tell_evacuated(self, revision: Revision, source: str) -> None:
-        if self._belief.set_evacuated(self._evacuated, revision, source):
-            self.on_news()
+        if self._local_state.set_evacuated(self._evacuated, revision, source):
+            self.on_update()
 
     def _list_upstreams(self, listing: Listing) -> None:
-        catalog = self._belief.catalog
+        catalog = self._local_state.catalog
         if self._is_late(listing.revision):
             self._ignore_upstreams(listing.revision, 'listing')
             return
@@ -264,21 +264,21 @@
         catalog.replace_all(
             entries,
             listing.revision,
-            store_was_away=self._contact.was_away_lately,
+            store_was_away=self._contact.was_lost_recently,
         )
         if is_newer:
-            self.on_news()
+            self.on_update()
 
     def _is_late(self, listed: Revision) -> bool:
         """Return whether other hosts have told of what came after a listing.
 
         A store that tells no era may have been restored: its listing counts.
         """
-        known = self._belief.catalog.revision
+        known = self._local_state.catalog.revision
         return listed < known and known.era != NO_REVISION.era
 
     def _change_upstreams(self, changes: Changes) -> None:
-        catalog = self._belief.catalog
+        catalog = self._local_state.catalog
         if not changes.changes:
             # A higher revision alone would make the others fetch.
             return
@@ -304,7 +304,7 @@
             entries,
             [*deleted, *spoilt],
             changes.revision,
-            store_was_away=self._contact.was_away_lately,
+            store_was_away=self._contact.was_lost_recently,
         )
         log_event(
             'upstreams-read',
@@ -312,13 +312,13 @@
             count=len(entries),
             removed=len(deleted),
         )
-        self.on_news()
+        self.on_update()
 
     def _end_missing(self, changes: Changes) -> None:
         """Drop what a host that was away took for lapsed, and was removed."""
-        if self._contact.was_away_lately:
+        if self._contact.was_lost_recently:
             return
-        catalog = self._belief.catalog
+        catalog = self._local_state.catalog
         last = {
             change.stored.metadata.name: change.is_deleted
             for change in changes.changes
@@ -333,18 +333,20 @@
 
     def _knows_lapses(self) -> bool:
         """Return whether own contact shows that nothing can have lapsed."""
-        span = self._contact.span
+        span = self._contact.contact_period
         if span is None:
             return False
-        times = LapseTimes(self._contact.harmless_seconds(), RETURN_SECONDS)
-        return are_entries_back([span], times, self._belief.clock())
+        times = LapseTimes(
+            self._contact.tolerated_outage_seconds(), RETURN_SECONDS
+        )
+        return are_entries_back([span], times, self._local_state.clock())
 
     def _ignore_upstreams(self, revision: Revision, source: str) -> None:
         log_event(
             'news-ignored',
             kind=UPSTREAM_KIND,
             revision=revision,
-            known=self._belief.catalog.revision,
+            known=self._local_state.catalog.revision,
             source=source,
         )
 
--- a/src/wardstair/state/upstream.py
+++ b/src/wardstair/state/upstream.py
@@ -35,7 +35,7 @@
 KEPT_ERROR_SHARE = 0.15
 # How long an upstream that may have started again is taken for cold: the
 # longest distrust, after which it is next tried, and time for its entry.
-UNTOLD_SECONDS = 6.0
+ASSUMED_COLD_SECONDS = 6.0
 _FIRST_DISTRUST_SECONDS = 0.5
 _LONGEST_DISTRUST_SECONDS = 4.0
 
@@ -72,16 +72,16 @@
         refused_until: Monotonic time until which this host alone takes it for
             cold, since it refused a connection.
         gone_at: When its entry was deleted, or None.
-        told: Load it told last: running and waiting.
-        told_own: This host's requests at it when it told that.
-        told_at: When it told that.
-        crowding: Told load for each slot, averaged over the last seconds.
-        relief: Factor on its weight among the homes of keys; below 1 after it
-            was more crowded than others.
-        drawn: Factor on that weight; above 1 where few hosts may send to it
-            and each has to have requests enough.
+        reported_load: Load it told last: running and waiting.
+        own_when_reported: This host's requests at it when it told that.
+        reported_at: When it told that.
+        utilization: Told load for each slot, averaged over the last seconds.
+        rebalance_factor: Factor on its weight in the key ranking; below 1 after
+            its utilization was higher than that of others.
+        weight_factor: Factor on that weight; above 1 where few hosts may send
+            to it, so that each of them gets enough requests.
         slowness: Its time beside what was expected, averaged.
-        distrusted_until: Monotonic time until which it is avoided.
+        avoided_until: Monotonic time until which it is avoided.
         failures: Failures in a row.
         error_share: Share of failures among its answers lately.
         slowness_at: When that was last measured.
@@ -97,14 +97,14 @@
     cold_until: float = 0.0
     refused_until: float = 0.0
     gone_at: float | None = None
-    told: int = 0
-    told_own: int = 0
-    told_at: float = float('-inf')
-    crowding: float = 0.0
-    relief: float = 1.0
-    drawn: float = 1.0
+    reported_load: int = 0
+    own_when_reported: int = 0
+    reported_at: float = float('-inf')
+    utilization: float = 0.0
+    rebalance_factor: float = 1.0
+    weight_factor: float = 1.0
     slowness: float = 1.0
-    distrusted_until: float = 0.0
+    avoided_until: float = 0.0
     failures: int = 0
     error_share: float = 0.0
     slowness_at: float = 0.0
@@ -120,12 +120,12 @@
         return self.entry.name
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Names this life of it among all hosts."""
         return f'{self.entry.name}@{self.entry.born}'
 
     @property
-    def own(self) -> int:
+    def in_flight(self) -> int:
         """Requests of this host at it now."""
         return len(self.running)
 
@@ -146,7 +146,7 @@
 
     def is_avoided(self, now: float) -> bool:
         """Return whether it failed lately or is far slower than others."""
-        if now < self.distrusted_until or now < self.ejected_until:
+        if now < self.avoided_until or now < self.ejected_until:
             return True
         return self.is_overdue(now)
 
@@ -164,26 +164,26 @@
         """Return whether its oldest request takes far longer than usual."""
         return self._waiting_ratio(now) > 0
 
-    def suspect_new_life(self, now: float) -> None:
+    def assume_cold(self, now: float) -> None:
         """Take whoever listens there next for cold, until its entry is read.
 
         An upstream that starts again under its name is cold, and its hosts know
         no better than to go on: 21 requests in a second came to one that bears
         8.
         """
-        self.cold_until = max(self.cold_until, now + UNTOLD_SECONDS)
+        self.cold_until = max(self.cold_until, now + ASSUMED_COLD_SECONDS)
 
-    def suspect_restart(self, now: float) -> None:
+    def assume_cold_locally(self, now: float) -> None:
         """Do the same on the word of a refused connection of this host.
 
         Other hosts are not told: it may be the way that is cut.
         """
-        self.refused_until = now + UNTOLD_SECONDS
+        self.refused_until = now + ASSUMED_COLD_SECONDS
 
-    def forgive(self) -> None:
+    def reset_failures(self) -> None:
         """Forget failures that were those of the way."""
         self.failures = 0
-        self.distrusted_until = 0.0
+        self.avoided_until = 0.0
         self.refused_until = 0.0
         self.error_share = 0.0
         self.ejected_until = 0.0
@@ -192,21 +192,21 @@
 
     def load(self, now: float) -> float:
         """Return the requests that are probably at it now, of all hosts."""
-        age = now - self.told_at
+        age = now - self.reported_at
         if age >= REPORT_SECONDS:
-            return float(self.own)
+            return float(self.in_flight)
         freshness = 1 - age / REPORT_SECONDS
-        others = max(0, self.told - self.told_own) * freshness
-        return others + self.own
+        others = max(0, self.reported_load - self.own_when_reported) * freshness
+        return others + self.in_flight
 
     def note_load(self, running_and_waiting: int, now: float) -> None:
         """Take in a load report; this host's answered request is over."""
-        share = 1 - math.exp((self.told_at - now) / CROWDING_SECONDS)
+        share = 1 - math.exp((self.reported_at - now) / CROWDING_SECONDS)
         told = running_and_waiting / self.entry.slots
-        self.crowding += share * (told - self.crowding)
-        self.told = running_and_waiting
-        self.told_own = self.own
-        self.told_at = now
+        self.utilization += share * (told - self.utilization)
+        self.reported_load = running_and_waiting
+        self.own_when_reported = self.in_flight
+        self.reported_at = now
 
     def slowness_now(self, now: float) -> float:
         """Return its time beside the usual; old figures count for less.
@@ -223,7 +223,7 @@
     def note_answer(self) -> None:
         """Take in an answer whose time tells nothing."""
         self.failures = 0
-        self.distrusted_until = 0.0
+        self.avoided_until = 0.0
         self.error_share *= 1 - ERROR_WEIGHT
 
     def note_error(self, now: float) -> None:
@@ -284,5 +284,5 @@
             _FIRST_DISTRUST_SECONDS * 2.0 ** (self.failures - 1),
             _LONGEST_DISTRUST_SECONDS,
         )
-        self.distrusted_until = now + seconds
+        self.avoided_until = now + seconds
         return seconds
--- a/src/wardstair/state/following.py
+++ b/src/wardstair/state/watching.py
@@ -26,7 +26,7 @@
 UNWANTED_SECONDS = 0.25
 # A watch younger than this is not dropped for being behind: what it should
 # tell may be on its way.
-YOUNG_SECONDS = 0.3
+MIN_WATCH_AGE_SECONDS = 0.3
 
 
 class RenewalReason(StrEnum):
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowPlan:
+class WatchPlan:
     """What to follow and how.
 
     Attributes:
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FollowSinks:
+class WatchSinks:
     """Where what a follower learns goes.
 
     Attributes:
@@ -113,7 +113,7 @@
     on_complete: Callable[[Revision, float], None] = _ignore_moment
 
 
-class Follower:
+class KindWatcher:
     """Keeps one kind up to date; a task of its own runs it.
 
     Attributes:
@@ -125,8 +125,8 @@
         self,
         store: Store,
         contact: StoreContact,
-        plan: FollowPlan,
-        sinks: FollowSinks,
+        plan: WatchPlan,
+        sinks: WatchSinks,
     ) -> None:
         """Prepare without a call.
 
@@ -186,7 +186,7 @@
         since = self._watching_since
         if since is None:
             return
-        if asyncio.get_running_loop().time() - since >= YOUNG_SECONDS:
+        if asyncio.get_running_loop().time() - since >= MIN_WATCH_AGE_SECONDS:
             self._drop(RenewalReason.behind)
 
     def renew_watch(self) -> None:
@@ -313,7 +313,7 @@
         slack = self._plan.slack()
         # While contact is lost the answer itself is what matters.
         is_asking = self._contact.is_lost or (
-            self._contact.is_doubted and slack is not None
+            self._contact.is_suspect and slack is not None
         )
         seconds = ASKING_SECONDS if is_asking else self._plan.wait()
         late_after = None
@@ -344,7 +344,7 @@
         if is_answered:
             return watching.result()
         if not ended:
-            self._contact.note_doubt()
+            self._contact.note_late_watch()
         self._note_renewal(began_at)
         return None
 
@@ -352,7 +352,7 @@
         reason = RenewalReason.regained
         if self._dropped.is_set():
             reason = self._drop_reason
-        elif self._contact.is_doubted:
+        elif self._contact.is_suspect:
             reason = RenewalReason.late
         self.renewals[reason] += 1
         waited = asyncio.get_running_loop().time() - began_at
--- a/tests/functional/test_lapse_or_removal.py
+++ b/tests/functional/test_lapse_or_removal.py
@@ -57,7 +57,7 @@
         store = self.fleet.store
         store.delete('servers', name)
         revision = store.revision
-        catalog = self.host.belief.catalog
+        catalog = self.host.local_state.catalog
         await until(lambda: catalog.revision.number >= revision)
 
 
@@ -78,7 +78,7 @@
 
 def uses(host: GatewayHost, name: str) -> bool:
     """Return whether a host would send requests to an upstream."""
-    known = host.belief.catalog.of_service('views')
+    known = host.local_state.catalog.of_service('views')
     return name in {upstream.name for upstream in known}
 
 
@@ -130,7 +130,7 @@
             fleet.store.delete('servers', 'i-2')
             revision = fleet.store.revision
             for host in fleet.hosts:
-                catalog = host.belief.catalog
+                catalog = host.local_state.catalog
                 await until(lambda: catalog.revision.number >= revision)  # noqa: B023
                 assert uses(host, 'i-2')
             await until(
--- a/tests/functional/test_late_listing.py
+++ b/tests/functional/test_late_listing.py
@@ -25,9 +25,9 @@
 from wardstair.platform.objects import Metadata, StoredObject
 from wardstair.platform.store import Store
 from wardstair.platform.store_answers import Listing
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
 from wardstair.state.contact import StoreContact
+from wardstair.state.local_state import LocalState
 from wardstair.state.revision import Revision
 from wardstair.state.roles import Roles
 from wardstair.state.sync import StoreSync
@@ -76,20 +76,20 @@
         monkeypatch.setattr(store, 'list_kind', list_kind)
         monkeypatch.setattr(store, 'watch_kind', watch_kind)
         clock = Clock()
-        belief = Belief(clock, Catalog(clock))
+        local_state = LocalState(clock, Catalog(clock))
         roles = Roles()
         timing = timing_for(2.5, 4.0)
         contact = StoreContact(clock, Random(1))
-        sync = StoreSync(store, contact, belief, roles, lambda: timing)
+        sync = StoreSync(store, contact, local_state, roles, lambda: timing)
         task = asyncio.ensure_future(sync.upstreams.run())
         await until(lambda: listings == 1)
         # Another host tells of the restored store before the answer comes.
-        belief.catalog.replace_all([ENTRY], at(9, 2), store_was_away=False)
+        local_state.catalog.replace_all([ENTRY], at(9, 2), store_was_away=False)
         is_told.set()
         await is_watching.wait()
-        known = belief.catalog.revision
+        known = local_state.catalog.revision
         assert known == (at(40, 2) if is_taken else at(9, 2))
-        assert bool(belief.catalog.of_service('views')) is not is_taken
+        assert bool(local_state.catalog.of_service('views')) is not is_taken
         task.cancel()
         store.close()
 
@@ -135,12 +135,12 @@
     is_watching = asyncio.Event()
     store = Store(f'{ADDRESS}:1')
     clock = Clock()
-    belief = Belief(clock, Catalog(clock))
+    local_state = LocalState(clock, Catalog(clock))
     timing = timing_for(2.5, 4.0)
     contact = StoreContact(clock, Random(1))
-    sync = StoreSync(store, contact, belief, Roles(), lambda: timing)
-    host = LateHost(sync, belief.catalog)
-    sync.on_news = host.note_told
+    sync = StoreSync(store, contact, local_state, Roles(), lambda: timing)
+    host = LateHost(sync, local_state.catalog)
+    sync.on_update = host.note_told
 
     async def list_kind(_kind: str, **_how: bool) -> Result[Listing, str]:
         is_asked.set()
@@ -158,8 +158,8 @@
     await is_asked.wait()
     entry = replace(ENTRY, revision=at(3))
     other = replace(ENTRY, name='i-2', revision=at(4))
-    belief.catalog.replace_all([entry, other], at(9), store_was_away=False)
-    meanwhile(belief.catalog)
+    local_state.catalog.replace_all([entry, other], at(9), store_was_away=False)
+    meanwhile(local_state.catalog)
     is_told.set()
     await is_watching.wait()
     task.cancel()
--- a/tests/functional/test_leaving_while_connecting.py
+++ b/tests/functional/test_leaving_while_connecting.py
@@ -14,7 +14,7 @@
 from wardstair.connection.pool import ConnectFailed, UpstreamPool
 from wardstair.connection.upstream import UpstreamConnection
 from wardstair.fleet.relaying import RelayedRequest
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 
 LEAVER = 'i-1'
 OTHER = 'i-2'
@@ -81,11 +81,11 @@
 LEAVES = pytest.mark.parametrize('leave', [drains, goes, is_evacuated])
 
 
-def has_left(belief: Belief) -> bool:
+def has_left(local_state: LocalState) -> bool:
     """Return whether a host knows that the upstream takes no more."""
-    known = belief.catalog.of_service('views')
+    known = local_state.catalog.of_service('views')
     is_listed = any(one.name == LEAVER for one in known)
-    return not is_listed or 'north-a' in belief.evacuated
+    return not is_listed or 'north-a' in local_state.evacuated
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -112,7 +112,7 @@
     """Register the other upstream in a zone that is not evacuated."""
     entry = upstream_spec(other.port, zone='north-b')
     rig.store.put('servers', other.name, entry)
-    upstream = rig.gateway.belief.catalog.upstreams[other.name]
+    upstream = rig.gateway.local_state.catalog.upstreams[other.name]
     await rig.until(lambda: upstream.entry.zone == 'north-b')
 
 
@@ -156,7 +156,7 @@
             await rig.until(lambda: len(late.waiting) >= REQUESTS)
             assert LEAVER in late.waiting
             leave(rig, leaver)
-            await rig.until(lambda: has_left(rig.gateway.belief))
+            await rig.until(lambda: has_left(rig.gateway.local_state))
             late.may_go_on.set()
             answers = await asked
             assert {answer.status for answer in answers} == {200}
@@ -182,7 +182,7 @@
             asked = begin_many(rig, '/order/x', 'POST')
             await rig.until(lambda: bool(late.waiting))
             leave(rig, leaver)
-            await rig.until(lambda: has_left(rig.gateway.belief))
+            await rig.until(lambda: has_left(rig.gateway.local_state))
             late.may_go_on.set()
             answers = await asked
             later = await rig.ask('/order/x', 'POST', b'1', 'late')
@@ -213,7 +213,7 @@
             rig.store.put('servers', OTHER, upstream_spec(other.port))
             entry = upstream_spec(after.port)
             rig.store.put('servers', LEAVER, {**entry, 'born': 1})
-            known = rig.gateway.belief.catalog.upstreams
+            known = rig.gateway.local_state.catalog.upstreams
             await rig.until(
                 lambda: OTHER in known and known[LEAVER].entry.born == 1
             )
@@ -244,7 +244,7 @@
             await rig.until(lambda: len(late.waiting) >= REQUESTS)
             assert LEAVER in late.waiting
             leave(rig, leaver)
-            await rig.until(lambda: has_left(rig.gateway.belief))
+            await rig.until(lambda: has_left(rig.gateway.local_state))
             late.may_go_on.set()
             answers = await asked
             assert {answer.status for answer in answers} == {200}
--- a/tests/functional/test_missing_in_touch.py
+++ b/tests/functional/test_missing_in_touch.py
@@ -20,9 +20,9 @@
 from wardstair.platform.objects import Metadata, StoredObject
 from wardstair.platform.store import Store
 from wardstair.platform.store_answers import Change, Changes
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import RETURN_SECONDS, Catalog
 from wardstair.state.contact import StoreContact
+from wardstair.state.local_state import LocalState
 from wardstair.state.roles import Roles
 from wardstair.state.sync import StoreSync
 
@@ -75,10 +75,10 @@
     catalog = Catalog(clock)
     catalog.replace_all([KNOWN, OTHER], at(9), store_was_away=False)
     contact = StoreContact(clock, Random(1))
-    contact.harmless_seconds = lambda: HARMLESS_SECONDS
+    contact.tolerated_outage_seconds = lambda: HARMLESS_SECONDS
     timing = timing_for(2.5, 4.0)
-    belief = Belief(clock, catalog)
-    sync = StoreSync(store, contact, belief, Roles(), lambda: timing)
+    local_state = LocalState(clock, catalog)
+    sync = StoreSync(store, contact, local_state, Roles(), lambda: timing)
     sync.upstreams.skip_to(at(9))
     host = Host(clock, store, contact, catalog, sync)
     host.hold_contact(10)
@@ -93,7 +93,7 @@
     back.apply([], [ENTRY.name], at(12), store_was_away=True)
     changes = back.changes_since(host.catalog.revision)
     assert ENTRY.name in changes.missing
-    assert host.catalog.take_over(changes)
+    assert host.catalog.merge_peer_changes(changes)
 
 
 async def read_removal(host: Host, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -150,7 +150,7 @@
             back.replace_all([KNOWN, OTHER], at(9), store_was_away=False)
             copied = replace(OTHER, revision=at(4, era=2))
             back.replace_all([copied], at(7, era=2), store_was_away=False)
-            assert host.catalog.take_over(back.changes_since(at(9)))
+            assert host.catalog.merge_peer_changes(back.changes_since(at(9)))
             assert host.used == ['i-1', 'i-2']
 
     asyncio.run(test())
--- a/tests/functional/test_named_limits.py
+++ b/tests/functional/test_named_limits.py
@@ -135,7 +135,7 @@
 def knows(fleet: Fleet, name: str, rate: float | None) -> bool:
     """Return whether all hosts know what an upstream named."""
     return all(
-        (row := host.belief.limits.rows.get(name)) is not None
+        (row := host.local_state.limits.rows.get(name)) is not None
         and row.rate == rate
         for host in fleet.hosts
     )
@@ -175,7 +175,7 @@
             entry = upstream_spec(fleet.upstreams[0].port, zone='north-a')
             entry['born'] = 7
             fleet.store.put('servers', 'i-0', entry)
-            catalogs = [host.belief.catalog for host in fleet.hosts]
+            catalogs = [host.local_state.catalog for host in fleet.hosts]
             await until(
                 lambda: all(
                     one.upstreams['i-0'].entry.born == 7 for one in catalogs
@@ -183,7 +183,7 @@
             )
             assert not any(
                 host.chooser.limited_sends.is_limited(
-                    host.belief.catalog.upstreams['i-0'],
+                    host.local_state.catalog.upstreams['i-0'],
                 )
                 for host in fleet.hosts
             )
--- a/tests/functional/test_suspect_sharing.py
+++ b/tests/functional/test_suspect_sharing.py
@@ -59,7 +59,7 @@
     made = [make_host(number, standin) for number in range(amount)]
     tasks = []
     for host in made:
-        tasks.append(asyncio.ensure_future(host.sharing.follower.run()))
+        tasks.append(asyncio.ensure_future(host.sharing.watcher.run()))
         tasks.append(asyncio.ensure_future(host.sharing.run()))
     try:
         yield made
@@ -126,7 +126,7 @@
         async with hosts(2, standin) as (one, two):
             one.end(ONE, 'u1@1')
             two.end(TWO, 'u1@1')
-            await until(lambda: one.sharing.follower.has_listed)
+            await until(lambda: one.sharing.watcher.has_listed)
             two.end(TWO, 'u2@1')
             await until(lambda: one.table.count(TWO) == 2)
             assert two.table.count(ONE) == 0
--- a/tests/soak/breaks.py
+++ b/tests/soak/breaks.py
@@ -16,14 +16,14 @@
 from wardstair.platform.objects import StoredObject
 from wardstair.state import (
     age,
-    belief,
     contact,
-    following,
     limits,
+    local_state,
     notices,
-    reach,
+    reachability,
     suspects,
     sync,
+    watching,
 )
 from wardstair.state.upstream import Upstream
 from wardstair.version import organisations
@@ -40,11 +40,11 @@
 
 def forget_versions() -> None:
     """Let each version that is read be in force, also older ones."""
-    adopt = belief.Belief.offer_configuration
+    adopt = local_state.LocalState.offer_configuration
     kept: list[StoredObject] = []
 
     def offer(
-        self: belief.Belief,
+        self: local_state.LocalState,
         stored: StoredObject,
         source: str,
     ) -> bool:
@@ -56,7 +56,7 @@
             adopt(self, kept[0], source)
         return adopted
 
-    belief.Belief.offer_configuration = offer  # type: ignore[method-assign]
+    local_state.LocalState.offer_configuration = offer  # type: ignore[method-assign]
 
 
 def believe_to_be_alone() -> None:
@@ -103,7 +103,7 @@
     ) -> bool:
         return False
 
-    suspects.SuspectTable.take_in = take_in  # type: ignore[method-assign]
+    suspects.SuspectTable.add_evidence = take_in  # type: ignore[method-assign]
 
 
 def ignore_limits() -> None:
@@ -160,7 +160,7 @@
         return 0.0
 
     def wait(self: sync.StoreSync) -> float:
-        return following.WATCH_SECONDS
+        return watching.WATCH_SECONDS
 
     def slack(self: sync.StoreSync) -> float | None:
         return None
@@ -222,7 +222,7 @@
 def keep_to_itself() -> None:
     """Hand nothing on, and tell nobody what is out of reach."""
     setattr(handing_on.Handover, 'find', _find_nobody)  # noqa: B010
-    reach.ReachTable.is_cut_off = property(  # type: ignore[assignment]
+    reachability.ReachabilityTable.is_cut_off = property(  # type: ignore[assignment]
         lambda _table: False,
     )
 
--- a/tests/unit/test_catalog.py
+++ b/tests/unit/test_catalog.py
@@ -10,10 +10,10 @@
 from lib.revisions import at
 from lib.upstreams import ENTRY, Clock
 
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import RETURN_SECONDS, Catalog
 from wardstair.state.contact import StoreContact
 from wardstair.state.entries import UpstreamPhase
+from wardstair.state.local_state import LocalState
 from wardstair.state.revision import NO_REVISION
 from wardstair.state.upstream import (
     EJECT_SECONDS,
@@ -127,11 +127,11 @@
 def test_a_zone_that_comes_back_from_an_evacuation_is_cold() -> None:
     clock = Clock()
     catalog = filled(clock)
-    belief = Belief(clock, catalog)
-    assert belief.set_evacuated(['a1'], at(7), 'watch')
-    assert not belief.set_evacuated([], at(6), 'host:late')
-    assert belief.evacuated == {'a1'}
-    assert belief.set_evacuated([], at(8), 'watch')
+    local_state = LocalState(clock, catalog)
+    assert local_state.set_evacuated(['a1'], at(7), 'watch')
+    assert not local_state.set_evacuated([], at(6), 'host:late')
+    assert local_state.evacuated == {'a1'}
+    assert local_state.set_evacuated([], at(8), 'watch')
     # No configuration tells how long services stay cold: not at all, then.
     assert not catalog.of_service('views')[0].is_cold(clock.now)
 
@@ -161,9 +161,9 @@
         contact.note_success()
         await asyncio.gather(*tasks)
         assert regained.done()
-        assert contact.was_away_lately
+        assert contact.was_lost_recently
         clock.now += RETURN_SECONDS
-        assert not contact.was_away_lately
+        assert not contact.was_lost_recently
 
     asyncio.run(main())
 
--- a/tests/unit/test_catalog_changes.py
+++ b/tests/unit/test_catalog_changes.py
@@ -15,7 +15,7 @@
 )
 from wardstair.state.catalog import RETURN_SECONDS, Catalog
 from wardstair.state.entries import UpstreamPhase
-from wardstair.state.removals import MOST_REMOVED
+from wardstair.state.removals import MAX_REMOVALS
 from wardstair.state.revision import NO_REVISION
 
 
@@ -35,7 +35,7 @@
     decoded = decode_state(encoded)
     assert decoded is not None
     assert decoded.upstreams is not None
-    target.take_over(decoded.upstreams)
+    target.merge_peer_changes(decoded.upstreams)
     return len(changes.entries)
 
 
@@ -105,7 +105,7 @@
     old = replace(ENTRY, name='old', revision=at(1))
     source.replace_all([old], at(1), store_was_away=False)
     hand_on(source, target)
-    for number in range(MOST_REMOVED + 2):
+    for number in range(MAX_REMOVALS + 2):
         name = f'i-{number}'
         revision = 2 + number * 2
         entry = replace(ENTRY, name=name, revision=at(revision))
@@ -123,7 +123,7 @@
     source.apply(
         [replace(ENTRY, revision=at(9))], [], at(9), store_was_away=False
     )
-    assert not target.take_over(source.changes_since(at(7)))
+    assert not target.merge_peer_changes(source.changes_since(at(7)))
     assert target.revision == NO_REVISION
 
 
--- a/tests/unit/test_cold_after_evacuation.py
+++ b/tests/unit/test_cold_after_evacuation.py
@@ -19,36 +19,36 @@
 from wardstair.fleet.beats import Versions
 from wardstair.fleet.sharing import decode_state
 from wardstair.platform.objects import Metadata, StoredObject
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog, CatalogChanges
 from wardstair.state.contact import StoreContact
 from wardstair.state.exchange import StateExchange
+from wardstair.state.local_state import LocalState
 from wardstair.state.roles import Roles
 
 COLD_SECONDS = 3.0
 ZONE = ENTRY.zone
 
 
-def belief_of(clock: Clock) -> Belief:
+def belief_of(clock: Clock) -> LocalState:
     """Return what a host believes that knows the configuration."""
-    belief = Belief(clock, Catalog(clock))
+    local_state = LocalState(clock, Catalog(clock))
     stored = StoredObject(
         metadata=Metadata(name='main', revision=1),
         spec=configuration_spec(1),
     )
-    assert belief.offer_configuration(stored, 'test')
-    return belief
+    assert local_state.offer_configuration(stored, 'test')
+    return local_state
 
 
-def told_by(belief: Belief) -> CatalogChanges:
+def told_by(local_state: LocalState) -> CatalogChanges:
     """Return the upstreams as a host tells a newcomer of them."""
 
     async def ask() -> bytes:
-        contact = StoreContact(belief.clock, Random(1))
+        contact = StoreContact(local_state.clock, Random(1))
         roles = Roles(lambda: False, lambda: False)
         timing = timing_for(2.5, 4.0)
         exchange = StateExchange(
-            belief,
+            local_state,
             contact,
             1,
             roles,
@@ -86,7 +86,7 @@
     source.catalog.replace_all([ENTRY, other], at(5), store_was_away=False)
     if begins or ends:
         source.set_evacuated([ZONE], at(6), 'watch')
-    newcomer.catalog.take_over(told_by(source))
+    newcomer.catalog.merge_peer_changes(told_by(source))
     if begins:
         newcomer.set_evacuated([ZONE], at(6), 'host:a')
     clock.now += 1
--- a/tests/unit/test_evacuations_after_restore.py
+++ b/tests/unit/test_evacuations_after_restore.py
@@ -15,8 +15,8 @@
 from lib.upstreams import ENTRY, Clock
 
 from wardstair.platform.objects import Metadata, StoredObject
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
+from wardstair.state.local_state import LocalState
 
 ZONE = ENTRY.zone
 PERIOD = 6.0
@@ -31,30 +31,30 @@
     era: int
 
 
-def belief_of(clock: Clock) -> Belief:
+def belief_of(clock: Clock) -> LocalState:
     """Return what a host believes that knows the configuration."""
-    belief = Belief(clock, Catalog(clock))
+    local_state = LocalState(clock, Catalog(clock))
     stored = StoredObject(
         metadata=Metadata(name='main', revision=1),
         spec=configuration_spec(1),
     )
-    assert belief.offer_configuration(stored, 'test')
-    belief.catalog.replace_all([ENTRY], at(1), store_was_away=False)
-    belief.restoration.period = lambda: PERIOD
-    return belief
+    assert local_state.offer_configuration(stored, 'test')
+    local_state.catalog.replace_all([ENTRY], at(1), store_was_away=False)
+    local_state.restoration.period = lambda: PERIOD
+    return local_state
 
 
-def read(belief: Belief, *reads: Read) -> None:
+def read(local_state: LocalState, *reads: Read) -> None:
     for one in reads:
         revision = at(one.number, one.era)
-        belief.set_evacuated(one.zones, revision, 'watch')
+        local_state.set_evacuated(one.zones, revision, 'watch')
 
 
-def tell(source: Belief, target: Belief) -> None:
+def tell(source: LocalState, target: LocalState) -> None:
     """Hand on what a host fetches from another."""
     told = source.shared_restore
     if told is not None:
-        target.restoration.take_over(told.era, told.age)
+        target.restoration.merge_peer_report(told.era, told.age)
     if source.evacuations_revision > target.evacuations_revision:
         target.set_evacuated(
             source.listed_zones,
@@ -108,21 +108,21 @@
     is_kept_for_good: bool,
 ) -> None:
     clock = Clock()
-    belief = belief_of(clock)
-    read(belief, KNOWN, *reads)
-    assert (ZONE in belief.evacuated) is is_kept
+    local_state = belief_of(clock)
+    read(local_state, KNOWN, *reads)
+    assert (ZONE in local_state.evacuated) is is_kept
     clock.now += PERIOD
-    belief.end_restore()
-    assert (ZONE in belief.evacuated) is is_kept_for_good
+    local_state.expire_kept_zones()
+    assert (ZONE in local_state.evacuated) is is_kept_for_good
 
 
 def test_upstreams_of_a_zone_that_is_given_up_are_cold() -> None:
     clock = Clock()
-    belief = belief_of(clock)
-    read(belief, KNOWN, COPY)
+    local_state = belief_of(clock)
+    read(local_state, KNOWN, COPY)
     clock.now += PERIOD
-    belief.end_restore()
-    assert belief.catalog.upstreams[ENTRY.name].is_cold(clock.now)
+    local_state.expire_kept_zones()
+    assert local_state.catalog.upstreams[ENTRY.name].is_cold(clock.now)
 
 
 def test_a_host_that_starts_after_the_restore_is_told() -> None:
@@ -135,7 +135,7 @@
     tell(known, newcomer)
     assert newcomer.evacuated == {ZONE}
     clock.now += PERIOD / 2
-    newcomer.end_restore()
+    newcomer.expire_kept_zones()
     assert not newcomer.evacuated
 
 
@@ -149,8 +149,8 @@
     tell(early, late)
     assert late.evacuated == {ZONE}
     clock.now += 1
-    late.end_restore()
-    early.end_restore()
+    late.expire_kept_zones()
+    early.expire_kept_zones()
     assert not late.evacuated
     # One that reads by itself keeps it alone.
     later = belief_of(clock)
@@ -201,5 +201,5 @@
             tell(source, target)
     clock.now += PERIOD
     for host in hosts:
-        host.end_restore()
+        host.expire_kept_zones()
         assert host.evacuated == {'c1'}
--- a/tests/unit/test_lapses.py
+++ b/tests/unit/test_lapses.py
@@ -52,7 +52,7 @@
 
 def contact_at(clock: Clock) -> StoreContact:
     contact = StoreContact(clock, Random(1))
-    contact.harmless_seconds = lambda: HARMLESS_SECONDS
+    contact.tolerated_outage_seconds = lambda: HARMLESS_SECONDS
     return contact
 
 
@@ -74,7 +74,7 @@
     for gap in gaps:
         clock.now += gap
         contact.note_success()
-    assert contact.span == ContactSpan(clock.now - held, clock.now)
+    assert contact.contact_period == ContactSpan(clock.now - held, clock.now)
 
 
 def test_contact_begins_anew_after_a_failure() -> None:
@@ -82,10 +82,10 @@
     contact = contact_at(clock)
     contact.note_success()
     contact.note_failure('test')
-    assert contact.span is None
+    assert contact.contact_period is None
     clock.now += 1
     contact.note_success()
-    assert contact.span == ContactSpan(clock.now, clock.now)
+    assert contact.contact_period == ContactSpan(clock.now, clock.now)
 
 
 @pytest.mark.parametrize('is_heard', [True, False])
@@ -107,9 +107,9 @@
         read = decode_beat(encode_beat(beat))
         assert read == beat
         members.hear(read)
-    assert contact.was_away_lately is not is_heard
+    assert contact.was_lost_recently is not is_heard
     clock.now += RETURN_SECONDS
-    assert not contact.was_away_lately
+    assert not contact.was_lost_recently
 
 
 @pytest.mark.parametrize(
@@ -130,7 +130,7 @@
     contact.note_failure('reset')
     clock.now += away_seconds
     contact.note_success()
-    assert contact.was_away_lately is may_have_lapsed
+    assert contact.was_lost_recently is may_have_lapsed
 
 
 def test_a_short_reset_does_not_end_the_wait_after_an_outage() -> None:
@@ -144,6 +144,6 @@
     contact.note_failure('reset')
     clock.now += RETURN_SECONDS / 4
     contact.note_success()
-    assert contact.was_away_lately
+    assert contact.was_lost_recently
     clock.now += RETURN_SECONDS / 2
-    assert not contact.was_away_lately
+    assert not contact.was_lost_recently
--- a/tests/unit/test_limited_sends.py
+++ b/tests/unit/test_limited_sends.py
@@ -104,7 +104,7 @@
         for _ in range(wanted):
             sends.note_first_choice(upstream)
         sends.step([upstream], now)
-    assert upstream.drawn == pytest.approx(drawn)
+    assert upstream.weight_factor == pytest.approx(drawn)
 
 
 def test_keys_go_back_when_the_limit_ends() -> None:
@@ -113,12 +113,12 @@
     sends, upstream = limited(0.5, 0.1, table)
     assert not sends.are_due(upstream, 1.0)
     assert sends.step([upstream], 10.0)
-    assert upstream.drawn > 1
+    assert upstream.weight_factor > 1
     clock.now += 1
     table.note(upstream, None)
     assert sends.are_due(upstream, 11.0)
     assert sends.step([upstream], 20.0)
-    assert upstream.drawn == 1
+    assert upstream.weight_factor == 1
     assert not sends.step([upstream], 30.0)
 
 
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -94,7 +94,7 @@
     table.note(upstream_of(born=2), ToldLimit(7.0))
     # What is told late of the life before.
     clock.now += 1
-    table.take_in({'u': SharedLimit(1, 4.0, 0.0)}, 'host')
+    table.merge_peer_limits({'u': SharedLimit(1, 4.0, 0.0)}, 'host')
     assert table.rate_of(upstream_of(born=2)) == 7.0
 
 
@@ -115,7 +115,7 @@
     upstream = upstream_of()
     table.note(upstream, ToldLimit(4.0))
     clock.now += 3
-    table.take_in({'u': SharedLimit(1, None, age)}, 'host')
+    table.merge_peer_limits({'u': SharedLimit(1, None, age)}, 'host')
     assert table.rate_of(upstream) == rate
 
 
@@ -128,8 +128,8 @@
     clock.now += 1
     two.note(upstream_of('b'), None)
     assert one.digest != two.digest
-    two.take_in(one.shared, 'one')
-    one.take_in(two.shared, 'two')
+    two.merge_peer_limits(one.shared, 'one')
+    one.merge_peer_limits(two.shared, 'two')
     assert one.digest == two.digest
     before = one.digest
     clock.now += 1
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -42,14 +42,14 @@
     before.slowness = 4.0
     before.running[1] = RunningSend(49.0, 0.1, 0.1)
     ended: list[str] = []
-    catalog.on_life_ended = ended.append
+    catalog.on_incarnation_ended = ended.append
     catalog.apply([NEW], [], at(20), store_was_away=False)
     after = catalog.upstreams[ENTRY.name]
     assert after is not before
     assert ended == [ENTRY.name]
     assert catalog.of_service('views') == [after]
     assert not after.is_avoided(50.0)
-    assert (after.load(50.0), after.own, after.failures) == (0.0, 0, 0)
+    assert (after.load(50.0), after.in_flight, after.failures) == (0.0, 0, 0)
     assert not after.warm.has('key', 50.0)
     assert after.slowness == 1.0
     assert after.is_cold(51.0)
@@ -97,9 +97,9 @@
 
 def test_a_life_that_ended_is_avoided_until_the_next_is_told() -> None:
     catalog = catalog_with(OLD)
-    upstream = catalog.note_ended(catalog.upstreams[ENTRY.name].life)
+    upstream = catalog.note_ended(catalog.upstreams[ENTRY.name].incarnation)
     assert upstream is catalog.upstreams[ENTRY.name]
-    upstream.suspect_new_life(50.0)
+    upstream.assume_cold(50.0)
     assert catalog.upstreams[ENTRY.name].is_avoided(55.9)
     assert catalog.upstreams[ENTRY.name].is_cold(55.9)
     # It may live after all.
--- a/tests/unit/test_news.py
+++ b/tests/unit/test_news.py
@@ -12,11 +12,11 @@
 
 from wardstair.decisions.timing import timing_for
 from wardstair.fleet.beats import Versions
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
 from wardstair.state.contact import StoreContact
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
 from wardstair.state.exchange import StateExchange
+from wardstair.state.local_state import LocalState
 from wardstair.state.roles import Roles
 
 TIMING = timing_for(2.5, 4.0)
@@ -26,10 +26,10 @@
     """What a host believes, and how it tells others."""
 
     def __init__(self) -> None:
-        self.belief = Belief(Clock(), Catalog(Clock()))
-        contact = StoreContact(self.belief.clock, Random(1))
+        self.local_state = LocalState(Clock(), Catalog(Clock()))
+        contact = StoreContact(self.local_state.clock, Random(1))
         self.exchange = StateExchange(
-            self.belief,
+            self.local_state,
             contact,
             1,
             Roles(),
@@ -38,7 +38,7 @@
         )
 
     def list_upstreams(self, number: int, *entries: UpstreamEntry) -> None:
-        self.belief.catalog.replace_all(
+        self.local_state.catalog.replace_all(
             entries,
             at(number),
             store_was_away=False,
@@ -46,7 +46,7 @@
 
     def change(self, number: int, entry: UpstreamEntry) -> None:
         changed = replace(entry, revision=at(number))
-        self.belief.catalog.apply(
+        self.local_state.catalog.apply(
             [changed],
             [],
             at(number),
@@ -54,7 +54,7 @@
         )
 
     def uses(self, name: str) -> bool:
-        known = self.belief.catalog.of_service('views')
+        known = self.local_state.catalog.of_service('views')
         return any(upstream.name == name for upstream in known)
 
 
@@ -83,13 +83,13 @@
     def test() -> None:
         teller, hearer = _Host(), _Host()
         teller.list_upstreams(5, ENTRY)
-        teller.exchange.take_news()
+        teller.exchange.take_update()
         hearer.list_upstreams(known, ENTRY)
         teller.change(6, replace(ENTRY, phase=UpstreamPhase.draining))
-        news = teller.exchange.take_news()
+        news = teller.exchange.take_update()
         assert news is not None
         assert news.state is not None
-        assert hearer.exchange.take_datagram(news.state)
+        assert hearer.exchange.receive_datagram(news.state)
         assert hearer.uses(ENTRY.name) is not is_taken
 
     run(test)
@@ -98,12 +98,12 @@
 def test_an_evacuation_is_told_in_a_datagram() -> None:
     def test() -> None:
         teller, hearer = _Host(), _Host()
-        teller.belief.set_evacuated(['z1'], at(7), 'watch')
-        news = teller.exchange.take_news()
+        teller.local_state.set_evacuated(['z1'], at(7), 'watch')
+        news = teller.exchange.take_update()
         assert news is not None
         assert news.state is not None
-        assert hearer.exchange.take_datagram(news.state)
-        assert hearer.belief.evacuated == {'z1'}
+        assert hearer.exchange.receive_datagram(news.state)
+        assert hearer.local_state.evacuated == {'z1'}
 
     run(test)
 
@@ -113,7 +113,7 @@
         teller = _Host()
         many = [replace(ENTRY, name=f'i-{number}') for number in range(100)]
         teller.list_upstreams(5, *many)
-        news = teller.exchange.take_news()
+        news = teller.exchange.take_update()
         assert news is not None
         assert news.state is None
 
@@ -124,8 +124,8 @@
     def test() -> None:
         teller = _Host()
         teller.list_upstreams(5, ENTRY)
-        assert teller.exchange.take_news() is not None
-        assert teller.exchange.take_news() is None
+        assert teller.exchange.take_update() is not None
+        assert teller.exchange.take_update() is None
 
     run(test)
 
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize('datagram', [b'', b'\x80', b'not state'])
 def test_a_datagram_that_is_no_state_is_told_apart(datagram: bytes) -> None:
     def test() -> None:
-        assert not _Host().exchange.take_datagram(datagram)
+        assert not _Host().exchange.receive_datagram(datagram)
 
     run(test)
 
@@ -145,11 +145,13 @@
         exchange.ask = lambda _request: asyncio.Future()
         ahead = Versions(configuration=2)
         for name in ('a', 'b'):
-            exchange.on_beat(beat_of(peer_of(name), versions=ahead))
+            exchange.on_heartbeat(beat_of(peer_of(name), versions=ahead))
             await asyncio.sleep(TIMING.near_hedge * 2)
         # Being asked already, and with no place for a comparison.
-        exchange.on_beat(beat_of(peer_of('a'), number=2, versions=ahead))
-        exchange.on_beat(beat_of(peer_of('c'), versions=Versions(limits=5)))
+        exchange.on_heartbeat(beat_of(peer_of('a'), number=2, versions=ahead))
+        exchange.on_heartbeat(
+            beat_of(peer_of('c'), versions=Versions(limits=5))
+        )
         await asyncio.sleep(0)
         begun = 0
         for _ in range(20):
--- a/tests/unit/test_notices.py
+++ b/tests/unit/test_notices.py
@@ -17,7 +17,7 @@
 )
 from wardstair.platform.headers import decode_upstream
 from wardstair.state.notices import (
-    MOST_PAUSE_SECONDS,
+    MAX_PAUSE_SECONDS,
     REMEMBERED_SECONDS,
     NoticeTable,
 )
@@ -193,13 +193,13 @@
         pytest.param([(0.0, 0.0)], 0.0, Standing.open, id='none'),
         pytest.param(
             [(0.0, float('inf'))],
-            MOST_PAUSE_SECONDS - 1,
+            MAX_PAUSE_SECONDS - 1,
             Standing.paused,
             id='huge',
         ),
         pytest.param(
             [(0.0, float('inf'))],
-            MOST_PAUSE_SECONDS,
+            MAX_PAUSE_SECONDS,
             Standing.open,
             id='bounded',
         ),
@@ -217,7 +217,7 @@
         clock.now = began + asked_at
         table.note_pause(upstream_of(), seconds)
     clock.now = began + at
-    assert table.standing(upstream_of()) is standing
+    assert table.availability(upstream_of()) is standing
 
 
 def test_a_life_that_leaves_does_so_until_the_next_begins() -> None:
@@ -230,8 +230,8 @@
     table.note_pause(upstream_of(), 1)
     assert table.notice_of(upstream_of()).leaving_since == first
     clock.now += 2
-    assert table.standing(upstream_of()) is Standing.closed
-    assert table.standing(upstream_of(born=2)) is Standing.open
+    assert table.availability(upstream_of()) is Standing.closed
+    assert table.availability(upstream_of(born=2)) is Standing.open
 
 
 def test_a_late_answer_of_an_earlier_life_says_nothing_of_the_next() -> None:
@@ -249,7 +249,7 @@
     table.note_pause(upstream_of(), 3)
     clock.now += 2
     table.forget(())
-    assert table.standing(upstream_of()) is Standing.paused
+    assert table.availability(upstream_of()) is Standing.paused
     clock.now += 1
     table.forget([ENTRY.name])
     assert table.is_idle
@@ -261,9 +261,9 @@
     table.note_leaving(upstream_of())
     clock.now += REMEMBERED_SECONDS - 1
     table.forget(())
-    assert table.standing(upstream_of()) is Standing.closed
+    assert table.availability(upstream_of()) is Standing.closed
     clock.now += 2
     table.forget([ENTRY.name])
-    assert table.standing(upstream_of()) is Standing.closed
+    assert table.availability(upstream_of()) is Standing.closed
     table.forget(())
     assert table.is_idle
--- a/tests/unit/test_organisations.py
+++ b/tests/unit/test_organisations.py
@@ -16,9 +16,9 @@
     StoredObject,
     decode_configuration,
 )
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
 from wardstair.state.freshness import ConfigurationFreshness
+from wardstair.state.local_state import LocalState
 from wardstair.version.organisations import Organisation, Quota
 from wardstair.version.steering import Steering
 
@@ -90,19 +90,19 @@
     tenants: object,
     named: str,
 ) -> None:
-    belief = Belief(Clock(), Catalog(Clock()))
-    assert belief.offer_configuration(
+    local_state = LocalState(Clock(), Catalog(Clock()))
+    assert local_state.offer_configuration(
         stored(spec_of({'choir': TENANT})), 'test'
     )
     with pytest.raises(ConfigurationError, match=named) as raised:
         decoded(tenants)
     assert SECRET not in str(raised.value)
     # The previous version stays in force.
-    assert not belief.offer_configuration(
+    assert not local_state.offer_configuration(
         stored(spec_of(tenants, version=2)), 'test'
     )
-    assert belief.steering is not None
-    assert belief.steering.organisations.owner_of(SECRET) == DECODED
+    assert local_state.steering is not None
+    assert local_state.steering.organisations.owner_of(SECRET) == DECODED
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_ranked_homes.py
+++ b/tests/unit/test_ranked_homes.py
@@ -13,8 +13,8 @@
 from wardstair.decisions.relief import STEP, STEP_SECONDS
 from wardstair.gateway.homes import KEPT, Haul, Homes, KeyAsk
 from wardstair.gateway.settings import LiveSettings
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
+from wardstair.state.local_state import LocalState
 
 REGIONS = {
     'north-a': 'north',
@@ -35,25 +35,27 @@
 
     def __init__(self, *switched_off: Mechanism) -> None:
         self.clock = Clock()
-        self.belief = Belief(self.clock, Catalog(self.clock))
+        self.local_state = LocalState(self.clock, Catalog(self.clock))
         settings = replace(
             gateway_settings(1),
             zones=REGIONS,
             switched_off=frozenset(switched_off),
         )
         self.live = LiveSettings(settings)
-        self.homes = Homes(self.live, self.belief)
+        self.homes = Homes(self.live, self.local_state)
         entries = [
             replace(ENTRY, name=f'i-{number}', zone=ZONES[number % 4])
             for number in range(12)
         ]
-        self.belief.catalog.replace_all(entries, at(1), store_was_away=False)
+        self.local_state.catalog.replace_all(
+            entries, at(1), store_was_away=False
+        )
 
     def tell(self, load_of: Callable[[str], int], seconds: int) -> None:
         """Let all upstreams tell their load for some seconds."""
         for _ in range(seconds):
             self.clock.now += STEP_SECONDS
-            for upstream in self.belief.catalog.upstreams.values():
+            for upstream in self.local_state.catalog.upstreams.values():
                 upstream.note_load(load_of(upstream.name), self.clock.now)
             self.homes.step(self.clock.now)
 
@@ -69,7 +71,7 @@
 
     def kept(self) -> float:
         """Return the share of keys whose home is in the host's region."""
-        upstreams = self.belief.catalog.upstreams
+        upstreams = self.local_state.catalog.upstreams
         homes = [self.ranked(key)[0] for key in KEYS]
         near = [
             name
@@ -103,13 +105,13 @@
     after = [fleet.ranked(key)[0] for key in KEYS]
     moved = {old for old, new in zip(before, after, strict=True) if old != new}
     assert moved == ({'i-0'} if is_on else set())
-    weight = fleet.belief.catalog.upstreams['i-0'].relief
+    weight = fleet.local_state.catalog.upstreams['i-0'].rebalance_factor
     assert (weight < 1 - STEP) is is_on
 
 
 def test_only_allowed_regions_are_ranked() -> None:
     fleet = Fleet()
-    upstreams = fleet.belief.catalog.upstreams
+    upstreams = fleet.local_state.catalog.upstreams
     ranked = fleet.ranked('key', regions=frozenset(('south',)))
     zones = {upstreams[name].entry.zone for name in ranked}
     assert zones == {'south-a'}
--- a/tests/unit/test_reach.py
+++ b/tests/unit/test_reach.py
@@ -15,7 +15,7 @@
 )
 from wardstair.state.catalog import Catalog
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
-from wardstair.state.reach import ReachTable
+from wardstair.state.reachability import ReachabilityTable
 from wardstair.state.upstream import RunningSend
 
 # Upstreams of two zones and two services: `v` and `o` in each zone.
@@ -51,7 +51,7 @@
         self.catalog = Catalog(lambda: self.now)
         entries = [entry_of(name, *place) for name, place in PLACES.items()]
         self.catalog.replace_all(entries, at(1), store_was_away=False)
-        self.reach = ReachTable(self.catalog)
+        self.reach = ReachabilityTable(self.catalog)
         self.reach.times = lambda: reach_times(4.0)
         self.reach.on_change = lambda: self.changes.append(self.reach.lost)
         self.reach.on_regained = self.regained.append
@@ -140,7 +140,7 @@
         store_was_away=False,
     )
     host.reach.refresh()
-    assert host.reach.is_sound or host.reach.is_doubted
+    assert host.reach.is_sound or host.reach.is_suspect
 
 
 @pytest.mark.parametrize(
@@ -280,7 +280,7 @@
 def test_answers_on_open_connections_say_nothing_of_new_ones() -> None:
     host = Host()
     doubts = []
-    host.reach.on_opening_doubt = lambda: doubts.append(host.now)
+    host.reach.on_opening_suspect = lambda: doubts.append(host.now)
     for name in ('v0-north', 'o0-south', 'v1-south'):
         host.reach.note_unopened(host.entry(name))
         host.answer('v0-north', 'o1-south')
--- a/tests/unit/test_region_moves.py
+++ b/tests/unit/test_region_moves.py
@@ -23,9 +23,9 @@
 from wardstair.gateway.moving import RegionMoves
 from wardstair.gateway.settings import Bounds, LiveSettings
 from wardstair.platform.objects import Metadata, StoredObject
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
+from wardstair.state.local_state import LocalState
 from wardstair.version.steering import SteeredRoute
 
 MOST_MOVED = 0.15
@@ -50,10 +50,10 @@
 
     def __init__(self, name: str) -> None:
         self.clock = Clock()
-        self.belief = Belief(self.clock, Catalog(self.clock))
+        self.local_state = LocalState(self.clock, Catalog(self.clock))
         own = gateway_settings(1, bounds=Bounds(shift_share=MOST_MOVED))
         self.live = LiveSettings(replace(own, zone=f'{name}-a', zones=ZONES))
-        self.homes = Homes(self.live, self.belief)
+        self.homes = Homes(self.live, self.local_state)
         self.version = 0
         self.steer(WEIGHTS)
         self.entries = [
@@ -80,7 +80,7 @@
             metadata=Metadata(name='main', revision=self.version),
             spec=configuration_spec(self.version, read=route),
         )
-        assert self.belief.offer_configuration(stored, 'test')
+        assert self.local_state.offer_configuration(stored, 'test')
 
     def wait(self, seconds: float) -> None:
         """Let time pass."""
@@ -89,14 +89,14 @@
 
     def adopt(self, entries: list[UpstreamEntry]) -> None:
         """Replace what the catalog holds."""
-        revision = self.belief.catalog.revision.number + 1
-        catalog = self.belief.catalog
+        revision = self.local_state.catalog.revision.number + 1
+        catalog = self.local_state.catalog
         catalog.replace_all(entries, at(revision), store_was_away=False)
 
     def shares(self) -> dict[str, float]:
         """Return the part of its requests that runs in each region."""
         self.homes.step(self.clock.now)
-        steering = self.belief.steering
+        steering = self.local_state.steering
         assert steering is not None
         route = steering.routes[0]
         weights = [(one.service, one.weight) for one in route.shares]
@@ -134,7 +134,7 @@
     """Let a fifth of the upstreams look crowded for two steps of relief."""
     for _ in range(2):
         region.clock.now += STEP_SECONDS
-        for n, one in enumerate(region.belief.catalog.upstreams.values()):
+        for n, one in enumerate(region.local_state.catalog.upstreams.values()):
             load = one.entry.slots * (2 if n % 5 == 0 else 0.3)
             one.note_load(int(load), region.clock.now)
         region.homes.step(region.clock.now)
@@ -211,7 +211,7 @@
 def test_a_move_of_a_route_that_is_gone_ends_as_well() -> None:
     """While one is under way all keys of moving routes are ranked anew."""
     region = Region('west')
-    steering = region.belief.steering
+    steering = region.local_state.steering
     moves = RegionMoves()
     shares = {'views': 0.5, 'orders': 0.1}
 
@@ -220,7 +220,7 @@
 
     moves.follow(steering, share_of, 0, MOST_MOVED)
     region.steer({'views': 0.1, 'orders': 0.9})
-    moves.follow(region.belief.steering, share_of, 0, MOST_MOVED)
+    moves.follow(region.local_state.steering, share_of, 0, MOST_MOVED)
     assert moves.are_under_way(1, MOST_MOVED)
     # Nobody asks for the route's offset from here on.
     assert not moves.are_under_way(60, MOST_MOVED)
--- a/tests/unit/test_sentinels.py
+++ b/tests/unit/test_sentinels.py
@@ -48,14 +48,14 @@
             self.members.hear(beat)
 
 
-def follower() -> _Fleet:
+def watcher() -> _Fleet:
     """Return the fleet as a host sees it that is no sentinel."""
     fleets = [_Fleet(own) for own in range(6)]
     return next(fleet for fleet in fleets if fleet.rank is None)
 
 
 def test_silent_sentinels_are_replaced_in_time() -> None:
-    fleet = follower()
+    fleet = watcher()
     fleet.now += 2 * TIMING.sentinel_beat
     assert fleet.rank is None
     fleet.now += TIMING.sentinel_silence
@@ -63,7 +63,7 @@
 
 
 def test_sentinels_that_doubt_their_contact_are_replaced_at_once() -> None:
-    fleet = follower()
+    fleet = watcher()
     fleet.hear_all(2, is_doubting=True)
     assert fleet.rank is not None
     fleet.hear_all(3)
@@ -104,10 +104,10 @@
     contact = StoreContact(lambda: 100.0, Random(1))
     contact.note_success()
     told: list[tuple[bool, bool]] = []
-    contact.on_doubt = lambda: told.append(
-        (contact.is_doubted, contact.is_lost)
+    contact.on_suspect = lambda: told.append(
+        (contact.is_suspect, contact.is_lost)
     )
-    contact.note_doubt()
-    contact.note_doubt()
+    contact.note_late_watch()
+    contact.note_late_watch()
     ends(contact)
     assert told == [(True, False), (False, is_lost)]
--- a/tests/unit/test_state_age.py
+++ b/tests/unit/test_state_age.py
@@ -61,10 +61,10 @@
     clock = Clock()
     age = StateAge(clock, KINDS)
     age.note_read('config', Revision(1, 7), clock.now)
-    assert age.told is None
+    assert age.reportable is None
     age.note_read('evacuations', Revision(1, 7), clock.now)
     age.note_read('servers', Revision(1, 7), clock.now)
-    assert age.told == ToldAge(0.0, 0)
+    assert age.reportable == ToldAge(0.0, 0)
 
 
 @pytest.mark.parametrize(
@@ -100,9 +100,9 @@
     clock = Clock()
     age = known_age(clock)
     clock.now += 10.0
-    age.look(10.0)
+    age.tick(10.0)
     clock.now += unseen
-    age.note_told(ToldAge(0.5, 0))
+    age.note_reported(ToldAge(0.5, 0))
     assert age.seconds == pytest.approx(expected)
 
 
@@ -112,7 +112,7 @@
     clock.now += 10.0
     asked_at = clock.now
     clock.now += 1.8
-    age.note_told(ToldAge(0.5, 0), asked_at)
+    age.note_reported(ToldAge(0.5, 0), asked_at)
     assert age.seconds == pytest.approx(2.3)
 
 
@@ -123,18 +123,18 @@
     for _ in range(100):
         for teller, listener in ((one, other), (other, one)):
             clock.now += 0.05
-            teller.look(0.05)
-            listener.look(0.05)
-            told = teller.told
+            teller.tick(0.05)
+            listener.tick(0.05)
+            told = teller.reportable
             assert told is not None
-            listener.note_told(replace(told, seconds=told.seconds - 0.08))
+            listener.note_reported(replace(told, seconds=told.seconds - 0.08))
     assert one.seconds == pytest.approx(10.0 - 0.08 * MOST_HOPS)
 
 
 def test_a_state_that_is_told_older_does_not_age_this_one() -> None:
     clock = Clock()
     age = known_age(clock)
-    age.note_told(ToldAge(60.0, 0))
+    age.note_reported(ToldAge(60.0, 0))
     assert age.seconds == 0.0
 
 
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -18,8 +18,8 @@
 )
 from wardstair.state.suspects import (
     HELD_SECONDS,
-    MOST_LIVES,
-    MOST_RECORDS,
+    MAX_INCARNATIONS,
+    MAX_RECORDS,
     SUSPECT_SECONDS,
     SuspectTable,
 )
@@ -77,11 +77,11 @@
         assert not host.table.held
     for host in hosts:
         for other in hosts:
-            host.table.take_in(way(other.table.records))
+            host.table.add_evidence(way(other.table.records))
     assert all(host.table.held == {A} for host in hosts)
     assert len({host.table.digest for host in hosts}) == 1
     # Told again it is no news, which would go round for ever.
-    assert not hosts[0].table.take_in(way(hosts[1].table.records))
+    assert not hosts[0].table.add_evidence(way(hosts[1].table.records))
 
 
 @pytest.mark.parametrize(
@@ -108,12 +108,12 @@
     day, newcomer = Day(), Day()
     day.end(A, 'u1@1', 'u2@1', 'u3@1')
     newcomer.now += seconds
-    newcomer.table.take_in(told(day.table.records))
+    newcomer.table.add_evidence(told(day.table.records))
     assert newcomer.table.held == {A}
     newcomer.now = START + HELD_SECONDS
     newcomer.table.expire()
     # What is too old does not come back.
-    assert not newcomer.table.take_in(told(day.table.records))
+    assert not newcomer.table.add_evidence(told(day.table.records))
 
 
 def test_an_end_renews_what_is_known() -> None:
@@ -130,7 +130,7 @@
     ahead.now += 10 * HELD_SECONDS
     ahead.end(A, 'u1@1', 'u2@1', 'u3@1')
     day = Day()
-    day.table.take_in(ahead.table.records)
+    day.table.add_evidence(ahead.table.records)
     assert day.table.held == {A}
     assert day.table.seconds_left(A) <= HELD_SECONDS
     day.now += HELD_SECONDS
@@ -141,34 +141,34 @@
 def test_a_caller_that_draws_ever_new_requests_takes_bounded_room() -> None:
     day = Day()
     day.end(A, 'u1@1', 'u2@1', 'u3@1')
-    for number in range(MOST_RECORDS + 50):
+    for number in range(MAX_RECORDS + 50):
         day.end(content(1000 + number), 'u4@1')
-        assert len(day.table.records) <= MOST_RECORDS
+        assert len(day.table.records) <= MAX_RECORDS
     # Those with the fewest lives go first.
     assert day.table.held == {A}
 
 
 def test_lives_of_one_request_take_bounded_room() -> None:
     day = Day()
-    day.end(A, *(f'u{number}@1' for number in range(MOST_LIVES * 2)))
-    for number in range(MOST_LIVES * 2):
+    day.end(A, *(f'u{number}@1' for number in range(MAX_INCARNATIONS * 2)))
+    for number in range(MAX_INCARNATIONS * 2):
         day.table.note_answered(A, f'v{number}@1')
     known = day.table.records[A]
-    assert len(known.ended) == MOST_LIVES
-    assert len(known.answered) == MOST_LIVES
+    assert len(known.ended) == MAX_INCARNATIONS
+    assert len(known.answered) == MAX_INCARNATIONS
 
 
 def test_an_operator_lifts_it_for_all() -> None:
     day, other = Day(), Day()
     day.end(A, 'u1@1', 'u2@1', 'u3@1')
-    other.table.take_in(day.table.records)
+    other.table.add_evidence(day.table.records)
     assert not day.table.lift(content(2))
     assert day.table.lift(A)
     assert not day.table.held
     # A host that has not heard of it does not bring it back.
-    day.table.take_in(other.table.records)
+    day.table.add_evidence(other.table.records)
     assert not day.table.held
-    other.table.take_in(told(day.table.records))
+    other.table.add_evidence(told(day.table.records))
     assert not other.table.held
     # It is held again if it goes on.
     day.now += 1
@@ -181,10 +181,10 @@
     told_lives: list[str] = []
     other.table.on_ended = told_lives.append
     day.end(A, 'u1@1')
-    other.table.take_in(told(day.table.records))
-    other.table.take_in(told(day.table.records))
+    other.table.add_evidence(told(day.table.records))
+    other.table.add_evidence(told(day.table.records))
     day.end(A, 'u2@1')
-    other.table.take_in(told(day.table.records))
+    other.table.add_evidence(told(day.table.records))
     assert told_lives == ['u1@1', 'u2@1']
 
 
--- a/tests/unit/test_upstreams_after_restore.py
+++ b/tests/unit/test_upstreams_after_restore.py
@@ -68,13 +68,13 @@
     """Hand changes on as they travel, with the age of the restore."""
     age = source.restoration.age
     if age is not None:
-        target.restoration.take_over(source.restoration.era, age)
+        target.restoration.merge_peer_report(source.restoration.era, age)
     changes = source.changes_since(target.revision)
     state = StateEncoder().encode(SharedState(upstreams=changes))
     decoded = decode_state(state)
     assert decoded is not None
     assert decoded.upstreams is not None
-    assert target.take_over(decoded.upstreams)
+    assert target.merge_peer_changes(decoded.upstreams)
 
 
 @pytest.mark.parametrize('known', ['draining', 'gone'])
--- a/tests/unit/test_witness.py
+++ b/tests/unit/test_witness.py
@@ -152,7 +152,7 @@
         assert bool(case.proved) is is_proved
         if is_proved:
             assert set(case.table.records['a'].ended) == {'u1@100'}
-        assert upstream.life == 'u1@100'
+        assert upstream.incarnation == 'u1@100'
         case.witness.close()
 
     run(test)
