--- a/src/wardstair/state/__init__.py
+++ b/src/wardstair/state/__init__.py
@@ -1,1 +1,1 @@
-"""What an entry host believes: configuration, evacuations, upstreams."""
+"""Local state of an entry host: configuration, evacuations, upstreams."""
--- a/src/wardstair/state/age.py
+++ b/src/wardstair/state/age.py
@@ -1,4 +1,4 @@
-"""Up to which moment this host knows all that the store had acknowledged."""
+"""Tracks the age of this host's state relative to the platform's store."""
 
 from collections.abc import Callable, Iterable
 
@@ -6,17 +6,21 @@
 from wardstair.state.revision import NO_REVISION, Revision
 from wardstair.state.roles import ignore
 
-# The loop looks at the time this much later than meant before what waited for
-# it counts as older.
+# Delay of the event loop from which received reports count as older, because
+# they may have waited in a socket buffer.
 LATE_SECONDS = 0.1
-# Less is no news: ways differ by as much.
-LEAST_GAIN_SECONDS = 0.1
-# For which time after it stood still a host takes in what waited meanwhile.
-WAITED_SECONDS = 0.2
+# Smaller gains are not announced: transit times differ by as much.
+MIN_GAIN_SECONDS = 0.1
+# Time after a stall of the event loop during which received reports may have
+# waited in a socket buffer.
+BACKLOG_SECONDS = 0.2
 
 
 class StateAge:
-    """The age of this host's state; one object a process.
+    """The age of this host's state; one object per process.
+
+    A state of age `a` contains all writes that the store had acknowledged `a`
+    seconds ago.
 
     Attributes:
         on_fresh: Called when the state is known to be newer than before.
@@ -27,7 +31,7 @@
         clock: Callable[[], float],
         kinds: Iterable[str],
     ) -> None:
-        """Begin with a state that is not known to be complete at all.
+        """Initialize with a state that is not known to be complete.
 
         Args:
             clock: Monotonic time in seconds.
@@ -36,27 +40,28 @@
         self.on_fresh: Callable[[], None] = ignore
         self._clock = clock
         now = clock()
-        # Moments up to which each kind is complete, by hops since the store was
-        # read. Until something is known, the age counts from the start.
-        self._moments = {
+        # Monotonic times up to which each kind is complete, by the maximum
+        # number of hops from the store. Until a report arrives, the age counts
+        # from the start of the process.
+        self._complete_times = {
             kind: [now for _ in range(MOST_HOPS + 1)] for kind in kinds
         }
         self._known = set[str]()
-        # Revision of the store up to which all of a kind is known.
-        self._complete_to = dict.fromkeys(self._moments, NO_REVISION)
-        self._looked_at = now
-        self._stood_until = float('-inf')
-        self._stood_seconds = 0.0
+        # Revision of the store up to which each kind is completely known.
+        self._complete_to = dict.fromkeys(self._complete_times, NO_REVISION)
+        self._ticked_at = now
+        self._backlog_until = float('-inf')
+        self._stall_seconds = 0.0
 
     @property
     def seconds(self) -> float:
-        """Age of the state: nothing acknowledged before that is missing."""
+        """Age of the state in seconds."""
         return self._clock() - self._complete_at(MOST_HOPS)
 
     @property
     def reportable(self) -> ToldAge | None:
-        """Age to tell other hosts; None while it is not known."""
-        if len(self._known) < len(self._moments):
+        """Age to report to other hosts; None while it is not known."""
+        if len(self._known) < len(self._complete_times):
             return None
         moment, hops = max(
             (self._complete_at(hops), -hops) for hops in range(MOST_HOPS)
@@ -64,10 +69,10 @@
         return ToldAge(self._clock() - moment, -hops)
 
     def note_read(self, kind: str, revision: Revision, moment: float) -> None:
-        """Note an answer of the store about one kind.
+        """Record an answer of the store about one kind.
 
-        Another kind of which all is known up to the same revision is complete
-        as well: nothing has changed since.
+        Another kind that is completely known up to the same revision is
+        complete at that time as well, because nothing has changed since.
 
         Args:
             kind: The kind.
@@ -82,59 +87,66 @@
         self._note_gain(before)
 
     def note_reported(
-        self, told: ToldAge, asked_at: float | None = None
+        self, reported: ToldAge, asked_at: float | None = None
     ) -> None:
-        """Note that this host knows all that another one does.
+        """Record that this host has all the state of another host.
 
         Args:
-            reportable: Age of the other host's state, with the way here.
-            asked_at: When this host had asked for it; None if it came unasked.
+            reported: Age of the other host's state, including the transit time
+                if it arrived unrequested.
+            asked_at: Monotonic time in seconds at which this host requested
+                it; None if it arrived unrequested.
         """
-        hops = told.hops + 1
+        hops = reported.hops + 1
         if hops > MOST_HOPS:
             return
         before = self._complete_at(MOST_HOPS)
         moment = (
-            self._clock() - self._waited() if asked_at is None else asked_at
+            self._clock() - self._max_wait() if asked_at is None else asked_at
         )
-        for kind in self._moments:
-            self._set(kind, moment - told.seconds, hops)
+        for kind in self._complete_times:
+            self._set(kind, moment - reported.seconds, hops)
         self._note_gain(before)
 
     def tick(self, period: float) -> None:
-        """Note that the process runs; to be called all the time.
+        """Detect stalls of the event loop; to be called periodically.
 
-        What comes in after it stood still may have waited as long.
+        A report that is read after a stall may have waited as long as the
+        stall lasted.
 
         Args:
             period: Seconds between two calls.
         """
         now = self._clock()
-        late = now - self._looked_at - period
+        late = now - self._ticked_at - period
         if late > LATE_SECONDS:
-            self._stood_seconds = late
-            self._stood_until = now + WAITED_SECONDS
-        self._looked_at = now
+            self._stall_seconds = late
+            self._backlog_until = now + BACKLOG_SECONDS
+        self._ticked_at = now
 
-    def _waited(self) -> float:
-        """Return how long what comes in now may have waited, in seconds."""
+    def _max_wait(self) -> float:
+        """Return how long a report read now may have waited, in seconds."""
         now = self._clock()
-        unseen = now - self._looked_at
-        stood = self._stood_seconds if now < self._stood_until else 0.0
-        return max(unseen if unseen > LATE_SECONDS else 0.0, stood)
+        since_tick = now - self._ticked_at
+        stall = self._stall_seconds if now < self._backlog_until else 0.0
+        return max(since_tick if since_tick > LATE_SECONDS else 0.0, stall)
 
     def _complete_at(self, hops: int) -> float:
-        """Return the moment up to which all is known, over so many hops."""
-        return min(moments[hops] for moments in self._moments.values())
+        """Return the time up to which all kinds are complete.
+
+        Args:
+            hops: Maximum number of hops from the store.
+        """
+        return min(times[hops] for times in self._complete_times.values())
 
     def _set(self, kind: str, moment: float, hops: int) -> None:
-        """Note that a kind is complete up to a moment, over so many hops."""
+        """Record that a kind is complete up to a time, after some hops."""
         self._known.add(kind)
-        moments = self._moments[kind]
-        for most in range(hops, MOST_HOPS + 1):
-            moments[most] = max(moments[most], moment)
+        times = self._complete_times[kind]
+        for max_hops in range(hops, MOST_HOPS + 1):
+            times[max_hops] = max(times[max_hops], moment)
 
     def _note_gain(self, before: float) -> None:
-        """Have others told if the state is known to be newer than before."""
-        if self._complete_at(MOST_HOPS) - before >= LEAST_GAIN_SECONDS:
+        """Call `on_fresh` if the state is known to be newer than before."""
+        if self._complete_at(MOST_HOPS) - before >= MIN_GAIN_SECONDS:
             self.on_fresh()
--- a/src/wardstair/state/catalog.py
+++ b/src/wardstair/state/catalog.py
@@ -1,7 +1,7 @@
-"""The upstreams that this host knows.
+"""The catalog of upstreams known to this host.
 
-One table a process. Entries come from the platform's store or from other
-entry hosts.
+There is one catalog per process. Its entries come from the platform's store or
+from other entry hosts.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -15,8 +15,9 @@
 from wardstair.state.stale_entries import StaleEntries
 from wardstair.state.upstream import ASSUMED_COLD_SECONDS, Upstream
 
-# Entries that vanish while the store is away are back this long after its
-# return if the upstream lives; the operators state about two seconds.
+# An entry that disappears while the store is unreachable is registered again
+# within this time after contact returns if its upstream is still running. The
+# platform's operators state about two seconds.
 RETURN_SECONDS = 2.0
 # Time for a restarted upstream to register in a restored store and for this
 # host to read the new entry: the delay until entries return, plus one second
@@ -26,18 +27,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogChanges:
-    """What has changed since a revision, for a host that is behind.
+    """Changes since a revision, for a host that is behind.
 
     Attributes:
-        since: Revision from which on it tells; `NO_REVISION` for the whole
-            list.
-        revision: Revision up to which it tells.
+        since: Revision from which the changes start; `NO_REVISION` for the
+            whole list.
+        revision: Revision up to which the changes are complete.
         entries: Entries that are new or have changed.
-        removed: Names of those that are gone.
-        missing: Seconds that are left for entries which vanished while the
-            store was away to come back, by name.
-        stale: Entries that a restored store lists though their upstreams had
-            left, or had said that they drain.
+        removed: Names of upstreams that were removed.
+        missing: Seconds left for entries to return that disappeared while the
+            store was unreachable, by name.
+        stale: Entries that a restored store lists although their upstreams had
+            left or had started to drain.
     """
 
     since: Revision
@@ -54,13 +55,15 @@
 
     Attributes:
         clock: Monotonic time in seconds.
-        revision: Revision of the store up to which changes are in.
-        upstreams: By name; those leaving stay until they are forgotten.
-        generation: Grows when the upstreams that take work change.
+        revision: Revision of the store up to which changes are included.
+        upstreams: Upstreams by name. A removed one stays until its last request
+            from this host has ended.
+        generation: Grows when the set of upstreams that accept work changes.
         on_incarnation_ended: Called with the name of a restarted upstream.
         restoration: The last restore of the store.
-        rules_out_expiry: Whether this host's own contact shows that nothing can
-            have lapsed: what another one misses was removed.
+        rules_out_expiry: Returns whether this host's contact with the store
+            shows that no entry can have expired. An entry that another host
+            reports as missing was then removed.
     """
 
     clock: Callable[[], float]
@@ -73,19 +76,19 @@
     _missing: dict[str, float] = field(default_factory=dict)
     _by_service: dict[str, list[Upstream]] = field(default_factory=dict)
     _removals: RemovalLog = field(default_factory=RemovalLog)
-    _doubts: StaleEntries = field(default_factory=StaleEntries)
+    _stale_entries: StaleEntries = field(default_factory=StaleEntries)
 
     def __post_init__(self) -> None:
-        """Begin without a restore."""
+        """Create the record of restores."""
         self.restoration = Restoration(self.clock)
 
     def of_service(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a service that take work."""
+        """Return the upstreams of a service that accept work."""
         return self._by_service.get(service, [])
 
     @property
     def in_service(self) -> list[UpstreamEntry]:
-        """Entries of all upstreams that take work."""
+        """Entries of all upstreams that accept work."""
         return [
             upstream.entry
             for upstream in self.upstreams.values()
@@ -93,7 +96,7 @@
         ]
 
     def changes_since(self, revision: Revision) -> CatalogChanges:
-        """Return what a host lacks that knows everything up to a revision."""
+        """Return what a host lacks if it knows everything up to a revision."""
         now = self.clock()
         is_covered = self._removals.covers(revision, self.revision)
         since = revision if is_covered else NO_REVISION
@@ -103,7 +106,7 @@
             if upstream.gone_at is None and upstream.entry.revision >= since
         ]
         present = {entry.name for entry in changed}
-        # One that has come back since is told by its entry.
+        # An upstream that has returned since is listed with its entry.
         removed = self._removals.since(since) - present
         return CatalogChanges(
             since,
@@ -111,15 +114,15 @@
             tuple(changed),
             () if since == NO_REVISION else tuple(sorted(removed)),
             {name: end - now for name, end in self._missing.items()},
-            self._doubts.entries,
+            self._stale_entries.entries,
         )
 
     def merge_peer_changes(self, changes: CatalogChanges) -> bool:
-        """Take in what another host has told.
+        """Merge changes received from another host.
 
         Returns:
-            Whether it fits: changes that begin after what this host knows
-            would leave a gap.
+            False if the changes start after the revision of this catalog,
+            which would leave a gap.
         """
         if changes.since > self.revision:
             return False
@@ -136,12 +139,12 @@
                 changes.revision,
                 store_was_away=False,
             )
-        self._share_missing(changes.missing)
+        self._merge_missing(changes.missing)
         if changes.stale:
-            self._share_doubts(changes)
+            self._merge_stale(changes)
         return True
 
-    def _share_missing(self, missing: Mapping[str, float]) -> None:
+    def _merge_missing(self, missing: Mapping[str, float]) -> None:
         if missing and self.rules_out_expiry() and not self._may_register_again:
             self.end_missing(missing)
             return
@@ -152,17 +155,17 @@
                 self._missing.setdefault(name, now + seconds)
 
     def end_missing(self, names: Iterable[str]) -> None:
-        """Take upstreams as gone that another host keeps as missing."""
+        """Remove upstreams that another host keeps as missing."""
         for name in names:
             self.remove(name, store_was_away=False)
         self._index()
 
-    def _share_doubts(self, changes: CatalogChanges) -> None:
-        self._doubts.share(changes.stale)
-        told = {entry.name for entry in changes.entries}
+    def _merge_stale(self, changes: CatalogChanges) -> None:
+        self._stale_entries.merge(changes.stale)
+        listed = {entry.name for entry in changes.entries}
         for entry in changes.stale:
-            if entry.name not in told:
-                # The other host saw it leave.
+            if entry.name not in listed:
+                # The other host saw the upstream leave.
                 self.remove(entry.name, store_was_away=False)
         self._index()
 
@@ -173,13 +176,13 @@
         *,
         store_was_away: bool,
     ) -> None:
-        """Take in a whole listing.
+        """Replace the catalog with a complete listing.
 
         Args:
             entries: All entries.
             revision: The store's revision of the listing.
-            store_was_away: Whether entries may have lapsed meanwhile though
-                their upstreams live.
+            store_was_away: Whether entries of running upstreams may have
+                expired because the store was unreachable.
         """
         listed = {entry.name: entry for entry in entries}
         is_first_listing = self.revision == NO_REVISION
@@ -187,19 +190,19 @@
         self.restoration.enter(revision.era)
         if is_new_era and self.restoration.is_recent:
             removed = self._removals.incarnations
-            self._doubts.begin(
+            self._stale_entries.start_era(
                 listed.values(),
                 lambda entry: self._had_left(entry, removed.get(entry.name)),
             )
         else:
-            self._doubts.compare(listed)
+            self._stale_entries.drop_updated(listed)
         for entry in listed.values():
-            if not self._doubts.has(entry.name):
+            if not self._stale_entries.has(entry.name):
                 self._put(entry)
         if is_first_listing and self.restoration.is_assumed:
             self._mark_all_cold()
         if is_new_era or is_first_listing:
-            # What was removed before is not known.
+            # Earlier removals are unknown.
             self._removals.begin(revision)
         self.revision = revision
         may_return = store_was_away or (is_new_era and self._is_just_restored)
@@ -215,34 +218,43 @@
         *,
         store_was_away: bool,
     ) -> None:
-        """Take in changes since the last revision."""
+        """Apply changes since the last revision.
+
+        Args:
+            changed: Entries that are new or have changed.
+            deleted: Names of deleted entries.
+            revision: The store's revision that the changes lead to.
+            store_was_away: Whether deleted entries may have expired although
+                their upstreams are running.
+        """
         self.revision = revision
         for entry in changed:
-            self._doubts.settle(entry.name)
+            self._stale_entries.discard(entry.name)
             self._put(entry)
         for name in deleted:
-            self._doubts.settle(name)
+            self._stale_entries.discard(name)
             self.remove(name, store_was_away=store_was_away)
         self._index()
 
     @property
     def _is_just_restored(self) -> bool:
-        """Whether upstreams that the store lacks may be registering again."""
+        """Whether upstreams may still be registering in a restored store."""
         age = self.restoration.age
         return age is not None and age < RETURN_SECONDS
 
     @property
     def _may_register_again(self) -> bool:
-        """Whether other hosts may miss what a restored store lacks."""
+        """Whether entries may be missing at peers because of a restore."""
         age = self.restoration.age
         return age is not None and age < 2 * RETURN_SECONDS
 
     def _had_left(self, entry: UpstreamEntry, removed: int | None) -> bool:
-        """Return whether the life that an entry names had left before.
+        """Return whether an entry's incarnation had left before the restore.
 
         Args:
             entry: An entry of a restored store.
-            removed: The life of that name which was taken out last, if any.
+            removed: Start time of the last removed incarnation of that name,
+                if any.
         """
         known = self.upstreams.get(entry.name)
         if known is None:
@@ -250,15 +262,21 @@
         if entry.born != known.entry.born:
             return False
         was_draining = known.entry.phase is UpstreamPhase.draining
-        drains = entry.phase is UpstreamPhase.draining
-        return known.gone_at is not None or (was_draining and not drains)
+        is_draining = entry.phase is UpstreamPhase.draining
+        return known.gone_at is not None or (was_draining and not is_draining)
 
     def is_missing(self, name: str) -> bool:
-        """Return whether an upstream is kept though its entry vanished."""
+        """Return whether an upstream is kept although its entry is missing."""
         return name in self._missing
 
     def remove(self, name: str, *, store_was_away: bool) -> None:
-        """Note that an entry is not there any more."""
+        """Remove an upstream, or wait for its entry to return.
+
+        Args:
+            name: Name of the upstream.
+            store_was_away: Whether the entry may have expired although the
+                upstream is running. It is then kept for `RETURN_SECONDS`.
+        """
         upstream = self.upstreams.get(name)
         if upstream is None or upstream.gone_at is not None:
             return
@@ -271,30 +289,33 @@
             self._forget(upstream, now)
 
     def expire_missing(self) -> None:
-        """Take upstreams as gone that did not come back in time."""
+        """Remove upstreams whose entries did not return in time."""
         now = self.clock()
-        self._end_doubts()
-        late = [name for name, end in self._missing.items() if end <= now]
-        for name in late:
+        self._accept_stale()
+        expired = [name for name, end in self._missing.items() if end <= now]
+        for name in expired:
             self._forget(self.upstreams[name], now)
         self.upstreams = {
             name: upstream
             for name, upstream in self.upstreams.items()
             if upstream.gone_at is None or upstream.in_flight
         }
-        if late:
+        if expired:
             self._index()
 
-    def _end_doubts(self) -> None:
-        """Take in entries that the store still lists: their upstreams live."""
-        if self.restoration.is_recent or not self._doubts.entries:
+    def _accept_stale(self) -> None:
+        """Accept stale entries that the store lists after the restore period.
+
+        The store has removed the entries of upstreams that had left by then.
+        """
+        if self.restoration.is_recent or not self._stale_entries.entries:
             return
-        for entry in self._doubts.release():
+        for entry in self._stale_entries.pop_all():
             self._put(entry)
         self._index()
 
     def mark_gone(self, name: str) -> None:
-        """Note that another upstream has taken over an address."""
+        """Remove an upstream whose address another upstream now uses."""
         upstream = self.upstreams.get(name)
         if upstream is None or upstream.has_ended:
             return
@@ -302,28 +323,29 @@
         self._forget(upstream, self.clock())
         self._index()
 
-    def note_ended(self, life: str) -> Upstream | None:
-        """Avoid a life that was found to have ended, here or by another host.
+    def note_ended(self, incarnation: str) -> Upstream | None:
+        """Avoid an incarnation that this host or a peer found to have ended.
 
-        Its entry lapses within that time, or a later life takes its name. That
-        one is cold, and requests meant for this one would flood it until hosts
-        have read its entry: 30 in a second were seen where 8 are borne.
+        During that time its entry expires or a new incarnation registers under
+        its name. The new one is cold, and requests meant for its predecessor
+        would overload it until hosts have read its entry: 30 requests in one
+        second reached an upstream that can take 8.
 
         Args:
-            incarnation: The life, as `Upstream.life` names it.
+            incarnation: The incarnation, as in `Upstream.incarnation`.
 
         Returns:
-            Its upstream; None if that has another life by now.
+            The upstream; None if it has a different incarnation by now.
         """
-        upstream = self.upstreams.get(life.rpartition('@')[0])
-        if upstream is None or upstream.incarnation != life:
+        upstream = self.upstreams.get(incarnation.rpartition('@')[0])
+        if upstream is None or upstream.incarnation != incarnation:
             return None
         end = self.clock() + ASSUMED_COLD_SECONDS
         upstream.avoided_until = max(upstream.avoided_until, end)
         return upstream
 
     def mark_cold(self, zone: str, seconds_of: Callable[[str], float]) -> None:
-        """Treat a zone's upstreams as cold, after it was evacuated.
+        """Treat the upstreams of a zone as cold after its evacuation.
 
         Args:
             zone: The availability zone.
@@ -339,7 +361,7 @@
         """Treat all upstreams as cold until each has had time to register.
 
         A restored store may list an outdated entry of an upstream that has
-        since restarted. Sending it the load of its previous life would
+        since restarted. Sending it the load of its previous incarnation would
         overload it while it is cold.
         """
         until = self.clock() + REREGISTRATION_SECONDS
@@ -358,7 +380,8 @@
         self._missing.pop(entry.name, None)
         known = self.upstreams.get(entry.name)
         if known is not None and _is_older(entry, known.entry):
-            # It arrives late, by another way, and would bring a life back.
+            # A late entry from another path would restore an incarnation that
+            # has ended.
             log_event(
                 'upstream-entry-ignored',
                 upstream=entry.name,
@@ -367,7 +390,7 @@
             )
             return
         if known is not None and entry.born > known.entry.born:
-            self._end_life(known, entry)
+            self._end_incarnation(known, entry)
             known = None
         is_new = known is None
         if known is None:
@@ -388,8 +411,10 @@
         if entry.cold_seconds > 0:
             known.cold_until = max(known.cold_until, now + entry.cold_seconds)
 
-    def _end_life(self, upstream: Upstream, entry: UpstreamEntry) -> None:
-        """Drop all that was learned of an upstream that has started again."""
+    def _end_incarnation(
+        self, upstream: Upstream, entry: UpstreamEntry
+    ) -> None:
+        """Drop the state of an upstream that has restarted."""
         log_event(
             'upstream-restarted',
             upstream=entry.name,
--- a/src/wardstair/state/contact.py
+++ b/src/wardstair/state/contact.py
@@ -1,8 +1,8 @@
-"""Whether this host is in contact with the platform's store.
+"""Tracks this host's contact with the platform's store.
 
-One object a process. While the store is away one task asks it again at a
-growing pace, and the others wait for that task's success: each call is paid
-for, refused ones included.
+There is one object per process. While the store does not answer, one task
+retries with increasing pauses and the others wait for its success, because
+every call is charged, including refused ones.
 """
 
 import asyncio
@@ -15,20 +15,26 @@
 from wardstair.state.roles import ignore
 
 FIRST_PAUSE_SECONDS = 0.2
-LONGEST_PAUSE_SECONDS = 1.0
+MAX_PAUSE_SECONDS = 1.0
 
 
 class StoreContact:
     """Contact with the store, shared by all tasks that call it.
 
     Attributes:
-        is_lost: Whether the store has failed to answer since it last did.
-        is_suspect: Whether a watch is late, and no answer has come since.
-        on_suspect: Called when a doubt begins or ends.
+        is_lost: Whether a call has failed since the last answer.
+        is_suspect: Whether a watch is late and no call has ended since.
+        on_suspect: Called when `is_suspect` changes.
+        heard_at: Monotonic time in seconds of the last answer, or None.
+        era: Era of the store in its answers; 0 before the first one.
+        restores: Number of restores of the store that were noticed.
+        others: Returns the contact periods that other hosts reported.
+        tolerated_outage_seconds: Returns for how many seconds the store may be
+            unreachable without any entry expiring.
     """
 
     def __init__(self, clock: Callable[[], float], random: Random) -> None:
-        """Begin without contact.
+        """Initialize without contact.
 
         Args:
             clock: Monotonic time in seconds.
@@ -38,94 +44,93 @@
         self.is_suspect = False
         self.on_suspect: Callable[[], None] = ignore
         self.heard_at: float | None = None
-        # Era of the store as its answers tell it; 0 before the first.
         self.era = 0
         self.restores = 0
-        # Contact of other hosts, as they told it.
         self.others: Callable[[], Iterable[ContactSpan]] = tuple
-        # Returns for how long the store may be away without an entry lapsing.
         self.tolerated_outage_seconds: Callable[[], float] = lambda: 0.0
         self._clock = clock
         self._random = random
         self._lost_at = 0.0
-        self._held_since = 0.0
-        self._back_at: float | None = None
+        self._contact_since = 0.0
+        self._regained_at: float | None = None
         self._failures = 0
-        self._is_asked = False
+        self._is_retrying = False
         self._changed = asyncio.Event()
         self._answered = asyncio.Event()
-        self._regained: asyncio.Future[None] | None = None
+        self._renewal: asyncio.Future[None] | None = None
 
     @property
     def was_lost_recently(self) -> bool:
-        """Whether entries may have lapsed though their upstreams live."""
+        """Whether entries of running upstreams may have expired."""
         if self.is_lost:
             return True
         now = self._clock()
-        back_at = self._back_at
-        if back_at is None or now - back_at >= RETURN_SECONDS:
+        regained_at = self._regained_at
+        if regained_at is None or now - regained_at >= RETURN_SECONDS:
             return False
         times = LapseTimes(self.tolerated_outage_seconds(), RETURN_SECONDS)
         return not are_entries_back(self.others(), times, now)
 
     @property
     def contact_period(self) -> ContactSpan | None:
-        """Time of uninterrupted contact up to the last answer, if there is any.
+        """Period of uninterrupted contact up to the last answer, or None.
 
-        Answers too far apart interrupt it: nobody knows what was between.
+        Answers that are too far apart interrupt it, because the store may have
+        been unreachable in between.
         """
         heard_at = self.heard_at
         if heard_at is None or self.is_lost:
             return None
-        return ContactSpan(self._held_since, heard_at)
+        return ContactSpan(self._contact_since, heard_at)
 
     @property
     def is_held(self) -> bool:
-        """Whether the store answered and has not failed since."""
+        """Whether the store has answered and no call has failed since."""
         return self.heard_at is not None and not self.is_lost
 
     async def wait_first_answer(self) -> None:
-        """Wait until the store has answered, and its era, if any, is known."""
+        """Wait for the first answer, which also shows the era if any."""
         await self._answered.wait()
 
     def next_regain(self) -> 'asyncio.Future[None]':
-        """Return a future that ends when watches are to be renewed.
+        """Return a future that is done when watches are to be renewed.
 
-        That is when contact is regained or doubted, or the store was restored.
-        A watch that was waiting then may never be answered, so whoever waits
-        for one waits for this as well.
+        That is when contact is regained or becomes suspect, or when the store
+        was restored. A watch that is waiting at that time may never be
+        answered, so its caller waits for this future as well.
         """
-        if self._regained is None:
-            self._regained = asyncio.get_running_loop().create_future()
-        return self._regained
+        if self._renewal is None:
+            self._renewal = asyncio.get_running_loop().create_future()
+        return self._renewal
 
     def note_success(self) -> None:
-        """Note that the store answered."""
+        """Record an answer of the store."""
         now = self._clock()
         before = self.heard_at
         is_gap = (
             before is None or now - before > self.tolerated_outage_seconds()
         )
         if is_gap or self.is_lost:
-            self._held_since = now
+            self._contact_since = now
         self.heard_at = now
         self._answered.set()
-        self._end_doubt()
+        self._clear_suspect()
         self._failures = 0
         self.pass_turn()
         if self.is_lost:
             self.is_lost = False
             if is_gap:
-                # Away for less, no entry can have lapsed.
-                self._back_at = now
+                # After a shorter outage no entry can have expired.
+                self._regained_at = now
             away = round(now - self._lost_at, 2)
             log_event('store-regained', away=away)
             self.renew_watches()
 
     def note_late_watch(self) -> None:
-        """Note that a watch is late: its connection may carry nothing more.
+        """Record that a watch is late, so that its connection may be broken.
 
-        All watches are renewed, as whatever ended one may have ended others.
+        All watches are renewed, because their connections may be broken by the
+        same cause.
         """
         if self.is_suspect or self.is_lost:
             return
@@ -134,52 +139,57 @@
         self.on_suspect()
 
     def renew_watches(self) -> None:
-        """Have all waiting watches begin anew on new connections."""
-        regained = self._regained
-        self._regained = None
-        if regained is not None and not regained.done():
-            regained.set_result(None)
+        """Restart all waiting watches on new connections."""
+        renewal = self._renewal
+        self._renewal = None
+        if renewal is not None and not renewal.done():
+            renewal.set_result(None)
 
     def note_era(self, era: int) -> None:
-        """Note that the store answered in a later era than before."""
+        """Record that the store answered in a later era than before."""
         if self.era:
             self.restores += 1
             log_warning('store-restored', era=era, before=self.era)
         self.era = era
-        # Watches of the era before end, also those that were cut silently.
+        # Ends watches of the previous era, including those on connections that
+        # broke silently.
         self.renew_watches()
 
     def note_failure(self, reason: str) -> None:
-        """Note that the store did not answer as it should."""
+        """Record a failed call.
+
+        Args:
+            reason: The failure, for the log.
+        """
         self._failures += 1
         self.pass_turn()
         if not self.is_lost:
             self.is_lost = True
             self._lost_at = self._clock()
             log_warning('store-lost', reason=reason)
-        self._end_doubt()
+        self._clear_suspect()
 
     async def wait_turn(self) -> None:
-        """Wait until a call may be made: at once while there is contact."""
+        """Wait until a call may be made: without delay while in contact."""
         while self.is_lost:
-            if not self._is_asked:
-                self._is_asked = True
+            if not self._is_retrying:
+                self._is_retrying = True
                 await asyncio.sleep(self._pause())
                 return
             self._changed.clear()
             await self._changed.wait()
 
     def pass_turn(self) -> None:
-        """Let another task ask, since this one has ended."""
-        self._is_asked = False
+        """Let another task retry, because the current one has ended."""
+        self._is_retrying = False
         self._changed.set()
 
-    def _end_doubt(self) -> None:
+    def _clear_suspect(self) -> None:
         if self.is_suspect:
             self.is_suspect = False
             self.on_suspect()
 
     def _pause(self) -> float:
-        grown = FIRST_PAUSE_SECONDS * 2.0 ** max(0, self._failures - 1)
-        spread = self._random.uniform(0.8, 1.2)
-        return min(grown, LONGEST_PAUSE_SECONDS) * spread
+        backoff = FIRST_PAUSE_SECONDS * 2.0 ** max(0, self._failures - 1)
+        jitter = self._random.uniform(0.8, 1.2)
+        return min(backoff, MAX_PAUSE_SECONDS) * jitter
--- a/src/wardstair/state/entries.py
+++ b/src/wardstair/state/entries.py
@@ -1,4 +1,4 @@
-"""What the platform tells of upstreams, in the product's own terms."""
+"""Entries of upstreams, independent of the platform's format."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class UpstreamPhase(StrEnum):
-    """Whether an upstream takes new work."""
+    """Whether an upstream accepts new work."""
 
     ready = 'ready'
     draining = 'draining'
@@ -18,18 +18,18 @@
     """One upstream as it registered itself.
 
     Attributes:
-        name: Its name; it may start again under the same one.
+        name: Its name, which it may keep when it restarts.
         service: The service it belongs to.
         host: IP address.
         port: TCP port.
         zone: Its availability zone.
-        slots: Requests that it works on at once.
-        phase: Whether it takes new work.
-        cold_seconds: Seconds for which it stays cold, counted from the
-            moment the entry was read.
+        slots: Number of requests that it processes concurrently.
+        phase: Whether it accepts new work.
+        cold_seconds: Seconds for which it stays cold, from the time at which
+            the entry was read.
         revision: Store revision at which the entry last changed.
-        born: When this life of it started, Unix milliseconds; 0 if it does
-            not say. Whatever was learned of it holds for this life only.
+        born: Start time of this incarnation in Unix milliseconds; 0 if it is
+            not stated. Measurements of an upstream hold for one incarnation.
     """
 
     name: str
--- a/src/wardstair/state/exchange.py
+++ b/src/wardstair/state/exchange.py
@@ -1,7 +1,7 @@
-"""Gives other entry hosts what they miss, and asks them for what is missed.
+"""Exchanges state with other entry hosts.
 
-A host that cannot reach the store, or whose watch says nothing, learns from
-the heartbeats that another is ahead, and fetches the parts it lacks.
+A host that cannot reach the store, or whose watch broke silently, sees in the
+heartbeats that a peer is ahead and fetches the parts it lacks.
 """
 
 import asyncio
@@ -46,35 +46,35 @@
 from wardstair.state.roles import Roles, ignore
 
 STATE_PATH = '/v1/state'
-# Source of what came unasked, in the log.
+# Source in the log for state that arrived unrequested.
 DATAGRAM_SOURCE = 'datagram'
-# How long this host's own watch may take to bring what another has already.
+# Time for this host's own watch to deliver a change that a peer already has.
 GRACE_SECONDS = 0.15
-# Longest time of one fetch; others are asked meanwhile.
+# Timeout of one fetch; other hosts are queried meanwhile.
 FETCH_SECONDS = 2.0
-# Least time from one fetch of requests that end upstreams to the next: when
-# many upstreams crash at once all hosts have something to tell.
+# Minimum interval between comparisons of merged tables: when many upstreams
+# crash at once, the digests of all hosts change continually.
 COMPARE_SECONDS = 0.25
 CONNECT_SECONDS = 1.0
-# One that is not answered takes its place until its time is over.
-_MANY_FETCHES = 8
-# Requests that end upstreams and limits are asked for only below this, so that
-# they never take the places of news.
-_MANY_COMPARISONS = 2
-# Larger news is fetched: a datagram that is cut up on its way is lost with any
-# of its parts.
-_DATAGRAM_BYTES = 1200
-# A configuration is at most a megabyte, 1,000 upstreams are a tenth of one.
-_STATE_BYTES = 4194304
+# Concurrent fetches. An unanswered one occupies a slot until its timeout.
+_MAX_FETCHES = 8
+# Suspect requests and limits are fetched only while fewer fetches than this are
+# in progress, so that they never delay newer state.
+_MAX_COMPARISONS = 2
+# Larger updates are fetched: a fragmented datagram is lost with any of its
+# fragments.
+_MAX_DATAGRAM_BYTES = 1200
+# A configuration has at most one megabyte, 1,000 upstreams a tenth of that.
+_MAX_STATE_BYTES = 4194304
 
 
 class FetchFailure(StrEnum):
-    """Why a fetch from another host brought nothing.
+    """Why a fetch from another host failed.
 
     Attributes:
-        unanswered: No whole answer came in time, or the connection broke.
+        unanswered: No complete answer arrived in time, or the connection broke.
         rejected: The host answered with an error.
-        unreadable: The answer is not of the format of this program.
+        unreadable: The answer could not be decoded.
     """
 
     unanswered = 'unanswered'
@@ -84,11 +84,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _FailedFetch:
-    """A fetch that brought nothing.
+    """A failed fetch.
 
     Attributes:
         failure: Its class, for the counter.
-        detail: What is known of it, for the log.
+        detail: Details for the log.
     """
 
     failure: FetchFailure
@@ -97,11 +97,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """What has changed of what all hosts should know.
+    """A change of the state that all hosts share.
 
     Attributes:
         state: Encoded upstreams and evacuations; None if they are too large
-            for a datagram, or have not changed.
+            for a datagram or have not changed.
     """
 
     state: bytes | None = None
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Digests:
-    """Digests of what hosts merge, which is not newer or older."""
+    """Digests of merged tables, which have no order of versions."""
 
     suspects: int
     limits: int
@@ -117,12 +117,12 @@
 
 
 class StateExchange:
-    """State between entry hosts; one a process.
+    """Exchanges state between entry hosts; one per process.
 
     Attributes:
-        fetches: Fetches begun.
-        failures: Fetches that brought nothing, by reason.
-        on_update: Called when a fetch has brought something.
+        fetches: Number of fetches started.
+        failures: Number of failed fetches, by reason.
+        on_update: Called after state from another host was merged.
     """
 
     def __init__(
@@ -134,15 +134,15 @@
         zone: str,
         timing: Callable[[], Timing],
     ) -> None:
-        """Prepare without a connection.
+        """Initialize without connecting.
 
         Args:
-            local_state: What this host holds to be true.
+            local_state: The state of this host.
             contact: Contact with the store.
-            port: Port of all hosts for state.
-            roles: What this host does for others.
+            port: Port on which all hosts serve their state.
+            roles: The roles of this host.
             zone: Availability zone of this host.
-            timing: How soon it asks another host, by the bounds in force.
+            timing: Returns the intervals for the bounds in force.
         """
         self.fetches = 0
         self.failures = Counter[FetchFailure]()
@@ -158,27 +158,27 @@
         self._encoder = StateEncoder()
         # The last heartbeat of each host that is ahead, oldest first.
         self._ahead: dict[str, Beat] = {}
-        # The same of each host that is not, but tells of another digest.
+        # The same for hosts that are not ahead but report a different digest.
         self._differing: dict[str, Beat] = {}
-        # Digests of another host and this one when they were last compared.
+        # Digests of the peer and of this host at their last comparison.
         self._compared: dict[str, tuple[_Digests, _Digests]] = {}
         self._compared_at = float('-inf')
-        # Up to which news has been told.
-        self._told = Versions()
-        self._catching_up: asyncio.Task[None] | None = None
-        self._comparing: asyncio.Task[None] | None = None
-        # Fetches that have not ended, by host.
+        # Versions covered by the last update for other hosts.
+        self._announced = Versions()
+        self._catch_up_task: asyncio.Task[None] | None = None
+        self._compare_task: asyncio.Task[None] | None = None
+        # Fetches in progress, by host.
         self._fetches: dict[str, asyncio.Task[None]] = {}
-        # When each of them is late; monotonic times in seconds.
+        # Monotonic time in seconds from which each of them is late.
         self._late_at: dict[str, float] = {}
-        self._client = make_client(_MANY_FETCHES, _STATE_BYTES)
+        self._client = make_client(_MAX_FETCHES, _MAX_STATE_BYTES)
 
     def close(self) -> None:
-        """End all fetches and drop connections."""
-        # Nothing begins when a fetch ends.
+        """Cancel all fetches and close connections."""
+        # Prevents a new fetch from starting when a fetch ends.
         self._ahead.clear()
         self._differing.clear()
-        for task in (self._catching_up, self._comparing):
+        for task in (self._catch_up_task, self._compare_task):
             if task is not None:
                 task.cancel()
         for fetch in self._fetches.values():
@@ -186,10 +186,13 @@
         close_client(self._client)
 
     def answer(self, theirs: Versions) -> bytes:
-        """Return the parts in which this host is ahead of another.
+        """Return the parts of the state in which this host is ahead.
 
         Args:
-            theirs: How far the other is.
+            theirs: Versions of the requesting host.
+
+        Returns:
+            The encoded state.
         """
         local_state = self._local_state
         own = local_state.versions
@@ -228,23 +231,23 @@
         return self._encoder.encode(state)
 
     def take_update(self) -> StateUpdate | None:
-        """Return what has changed since the last call; None for nothing.
+        """Return what has changed since the last call; None if nothing has.
 
-        A configuration is always fetched.
+        Configurations are never included: other hosts fetch them.
         """
         local_state = self._local_state
-        told = self._told
+        announced = self._announced
         own = local_state.versions
-        self._told = own
+        self._announced = own
         evacuations = None
-        if own.evacuations > told.evacuations:
+        if own.evacuations > announced.evacuations:
             zones = tuple(sorted(local_state.listed_zones))
             evacuations = SharedEvacuations(own.evacuations, zones)
         upstreams = None
-        if own.upstreams > told.upstreams:
-            upstreams = local_state.upstreams_since(told.upstreams)
+        if own.upstreams > announced.upstreams:
+            upstreams = local_state.upstreams_since(announced.upstreams)
         if evacuations is None and upstreams is None:
-            is_newer = own.configuration > told.configuration
+            is_newer = own.configuration > announced.configuration
             return StateUpdate() if is_newer else None
         state = SharedState(
             evacuations=evacuations,
@@ -252,22 +255,24 @@
             restore=local_state.shared_restore,
         )
         encoded = self._encoder.encode(state)
-        return StateUpdate(encoded if len(encoded) <= _DATAGRAM_BYTES else None)
+        return StateUpdate(
+            encoded if len(encoded) <= _MAX_DATAGRAM_BYTES else None
+        )
 
     def receive_datagram(self, datagram: bytes) -> bool:
-        """Take in news that another host has sent.
+        """Merge an update that another host has sent.
 
         Returns:
-            Whether it could be read.
+            Whether the datagram could be decoded.
         """
         state = decode_state(datagram)
         if state is None:
             return False
-        if self._is_news(state):
-            self._take_in(state, DATAGRAM_SOURCE)
+        if self._is_newer_state(state):
+            self._merge(state, DATAGRAM_SOURCE)
         return True
 
-    def _is_news(self, state: SharedState) -> bool:
+    def _is_newer_state(self, state: SharedState) -> bool:
         own = self._local_state.versions
         evacuations = state.evacuations
         if evacuations is not None and evacuations.revision > own.evacuations:
@@ -275,21 +280,24 @@
         upstreams = state.upstreams
         if upstreams is None or upstreams.revision <= own.upstreams:
             return False
-        # What begins later than what this host knows would leave a gap.
+        # Changes that start after this host's revision would leave a gap.
         return upstreams.since <= own.upstreams
 
     def on_heartbeat(self, beat: Beat) -> None:
-        """Fetch from a host that is ahead or differs, if none is asked now."""
+        """Record the age of a peer's state and fetch what this host lacks."""
         if beat.state_age is not None and not self._is_behind(beat.versions):
             is_near = beat.sender.zone == self._zone
-            way = way_seconds(is_near=is_near)
-            told = replace(beat.state_age, seconds=beat.state_age.seconds + way)
-            self._local_state.age.note_reported(told)
+            transit = way_seconds(is_near=is_near)
+            reported = replace(
+                beat.state_age,
+                seconds=beat.state_age.seconds + transit,
+            )
+            self._local_state.age.note_reported(reported)
         self._classify(beat)
-        self._start_asking()
+        self._start_fetching()
 
     def _classify(self, beat: Beat) -> None:
-        """Keep a heartbeat as the last one heard, if its sender is wanted."""
+        """Keep a heartbeat if its sender has state that this host lacks."""
         name = beat.sender.name
         self._ahead.pop(name, None)
         self._differing.pop(name, None)
@@ -298,18 +306,19 @@
         elif self._differs(beat):
             self._differing[name] = beat
 
-    def _start_asking(self) -> None:
-        """Begin to ask hosts that are wanted, unless that is under way."""
-        if self._ahead and _is_over(self._catching_up):
-            self._catching_up = asyncio.ensure_future(self._catch_up())
-        if self._differing and _is_over(self._comparing):
-            self._comparing = asyncio.ensure_future(self._compare())
+    def _start_fetching(self) -> None:
+        """Start fetching from hosts ahead or differing, unless in progress."""
+        if self._ahead and _is_over(self._catch_up_task):
+            self._catch_up_task = asyncio.ensure_future(self._catch_up())
+        if self._differing and _is_over(self._compare_task):
+            self._compare_task = asyncio.ensure_future(self._compare())
 
     def _differs(self, beat: Beat) -> bool:
-        """Return whether a host may know of what all should and this one lacks.
+        """Return whether a host may have table entries that this one lacks.
 
-        Tables that are full or of another age differ for good; nobody is asked
-        again for what brought nothing.
+        Tables that are full or of different age may never become equal. A host
+        is therefore not queried again while both digests are as they were
+        after the last comparison.
         """
         theirs = _digests_of(beat.versions)
         own = _digests_of(self._local_state.versions)
@@ -329,61 +338,70 @@
         return theirs.upstreams > own.upstreams
 
     async def _catch_up(self) -> None:
-        """Ask hosts that are ahead, one more whenever none answers soon.
+        """Fetch from hosts that are ahead, hedging late fetches.
 
-        When none is left that is not being asked, a heartbeat or the end of a
-        fetch begins it anew.
+        The task ends when every such host is being queried. The next heartbeat
+        or the end of a fetch starts it again.
         """
-        while beat := self._next_of(self._ahead, _MANY_FETCHES):
+        while beat := self._next_of(self._ahead, _MAX_FETCHES):
             await asyncio.sleep(self._grace_seconds(beat))
             if self._is_behind(beat.versions):
-                await self._ask_next(self._ahead, _MANY_FETCHES)
+                await self._fetch_next(self._ahead, _MAX_FETCHES)
 
     async def _compare(self) -> None:
-        """Ask hosts that differ, one more whenever none answers soon."""
-        while self._next_of(self._differing, _MANY_COMPARISONS):
+        """Fetch from hosts whose digests differ, hedging late fetches."""
+        while self._next_of(self._differing, _MAX_COMPARISONS):
             await asyncio.sleep(self._pause_seconds())
-            if await self._ask_next(self._differing, _MANY_COMPARISONS):
+            if await self._fetch_next(self._differing, _MAX_COMPARISONS):
                 self._keep_last_differing()
 
-    def _next_of(self, heard: dict[str, Beat], most: int) -> Beat | None:
-        """Return the heartbeat of the host to ask now; None for nobody."""
-        self._drop_outdated()
-        name = host_to_ask(heard, self._fetches, most)
+    def _next_of(self, heard: dict[str, Beat], limit: int) -> Beat | None:
+        """Return the heartbeat of the next host to query; None if none is.
+
+        Args:
+            heard: Heartbeats of the candidates by name.
+            limit: Maximum number of concurrent fetches.
+        """
+        self._reclassify()
+        name = host_to_ask(heard, self._fetches, limit)
         return None if name is None else heard[name]
 
-    async def _ask_next(self, heard: dict[str, Beat], most: int) -> bool:
-        """Ask one host; return whether that ended before it was late."""
-        beat = self._next_of(heard, most)
+    async def _fetch_next(self, heard: dict[str, Beat], limit: int) -> bool:
+        """Fetch from one host; return whether that ended in time."""
+        beat = self._next_of(heard, limit)
         if beat is None:
             return False
         heard.pop(beat.sender.name)
-        return await self._ask_for_a_while(beat)
+        return await self._fetch_hedged(beat)
 
-    def _drop_outdated(self) -> None:
-        """Drop what is known by now; a host may not be ahead but differ."""
+    def _reclassify(self) -> None:
+        """Compare the kept heartbeats with the state as it is by now."""
         for beat in (*self._differing.values(), *self._ahead.values()):
             self._classify(beat)
 
     def _keep_last_differing(self) -> None:
-        """Forget others: what one has told they may have learnt as well."""
+        """Drop all but the last differing host.
+
+        The others may have received the same entries from the host that was
+        just queried.
+        """
         for name in tuple(self._differing)[:-1]:
             self._differing.pop(name)
 
     def _grace_seconds(self, beat: Beat) -> float:
-        """Return how long to leave news to the own watch, in seconds."""
+        """Return how long to wait for this host's own watch, in seconds."""
         now = asyncio.get_running_loop().time()
         if is_one_late(self._late_at.values(), now):
             return 0.0
         return GRACE_SECONDS if self._has_watch_for(beat.versions) else 0.0
 
     def _pause_seconds(self) -> float:
-        """Return how long to wait before digests are compared, in seconds."""
+        """Return the wait until the next comparison, in seconds."""
         now = asyncio.get_running_loop().time()
         return max(0.0, self._compared_at + COMPARE_SECONDS - now)
 
     def _has_watch_for(self, theirs: Versions) -> bool:
-        """Return whether a watch of this host may bring what another has."""
+        """Return whether a watch of this host may deliver the same change."""
         if not self._contact.is_held:
             return False
         own = self._local_state.versions
@@ -393,10 +411,11 @@
             return self._roles.is_relay()
         return self._roles.is_sentinel()
 
-    async def _ask_for_a_while(self, beat: Beat) -> bool:
+    async def _fetch_hedged(self, beat: Beat) -> bool:
         """Fetch from a host; return whether that ended before it was late.
 
-        One that is late is not given up: its failure is counted.
+        A late fetch continues in the background, so that its result is used
+        or its failure counted.
         """
         hedge = self._hedge_seconds(beat)
         fetch = self._begin_fetch(beat, hedge)
@@ -418,7 +437,7 @@
     def _end_fetch(self, name: str) -> None:
         self._fetches.pop(name)
         self._late_at.pop(name)
-        self._start_asking()
+        self._start_fetching()
 
     def _hedge_seconds(self, beat: Beat) -> float:
         is_near = beat.sender.zone == self._zone
@@ -426,7 +445,7 @@
         return timing.near_hedge if is_near else timing.far_hedge
 
     async def _fetch_from(self, beat: Beat) -> None:
-        """Fetch from a host, and take in what it answers."""
+        """Fetch from a host and merge its answer."""
         asked_at = asyncio.get_running_loop().time()
         fetched = await self._fetch(beat.sender.address)
         if isinstance(fetched, Err):
@@ -440,10 +459,7 @@
             )
             return
         age = fetched.ok_value.age
-        if (
-            self._take_in(fetched.ok_value, beat.sender.name)
-            and age is not None
-        ):
+        if self._merge(fetched.ok_value, beat.sender.name) and age is not None:
             self._local_state.age.note_reported(age, asked_at)
         if self._local_state.suspects.add_evidence(fetched.ok_value.suspects):
             log_event(
@@ -486,8 +502,12 @@
             return Err(_FailedFetch(FetchFailure.unreadable, f'{size} bytes'))
         return Ok(state)
 
-    def _take_in(self, state: SharedState, host: str) -> bool:
-        """Take in what another host told; return whether all of it fits."""
+    def _merge(self, state: SharedState, host: str) -> bool:
+        """Merge state from another host.
+
+        Returns:
+            False if the upstreams could not be merged because of a gap.
+        """
         source = f'{PEER_SOURCE_PREFIX}{host}'
         local_state = self._local_state
         restore = state.restore
@@ -511,11 +531,11 @@
             )
         if restore is not None:
             local_state.keep_evacuated(restore.zones, restore.era)
-        is_whole = self._take_in_upstreams(state.upstreams, source)
+        is_complete = self._merge_upstreams(state.upstreams, source)
         self.on_update()
-        return is_whole
+        return is_complete
 
-    def _take_in_upstreams(
+    def _merge_upstreams(
         self,
         changes: CatalogChanges | None,
         source: str,
--- a/src/wardstair/state/freshness.py
+++ b/src/wardstair/state/freshness.py
@@ -6,12 +6,12 @@
 
 @dataclass(slots=True)
 class ConfigurationFreshness:
-    """Time since this host was last certain to learn of a new version.
+    """Time since this host was last certain to receive new versions.
 
     Attributes:
         clock: Monotonic time in seconds.
-        hears_store: Returns whether this host is in contact with the store, or
-            hears a peer that is.
+        hears_store: Returns whether this host is in contact with the store or
+            receives heartbeats from a peer that is.
     """
 
     clock: Callable[[], float]
--- a/src/wardstair/state/limits.py
+++ b/src/wardstair/state/limits.py
@@ -1,8 +1,9 @@
-"""Limits that upstreams name, as this host knows them.
+"""Rate limits announced by upstreams.
 
-A limit is told to one host and binds the sum of all, so hosts hand each other
-what they were told. It holds for a life of an upstream, and for as long as its
-answers name it: the host that had the last answer knows best.
+An upstream announces its limit in an answer to one host, but the limit applies
+to the sum of all hosts, so hosts exchange the limits that they receive. A limit
+holds for one incarnation of an upstream, and only while its answers contain it.
+The most recent answer to any host counts.
 """
 
 import time
@@ -16,34 +17,36 @@
 from wardstair.state.roles import ignore
 from wardstair.state.upstream import Upstream
 
-# Rates from here on bind nobody: twice the look-ups a second of the users'
-# whole plan.
-UNBOUND_RATE = 1_000_000.0
-# How long hosts remember that a limit has ended, so that one that still knows
-# it does not tell it anew, and what is told of upstreams they do not know yet.
-# Names of hosts that are only heard of are kept as long.
+# Rates from this value on are no limit: it is twice the planned number of
+# look-ups per second of all users.
+UNLIMITED_RATE = 1_000_000.0
+# Retention of the end of a limit, so that a host that still has the limit does
+# not distribute it again. Limits of upstreams without an entry are kept as
+# long, because the entry may still arrive. Hosts that are known only from peers
+# are retained for the same time.
 REMEMBERED_SECONDS = 60.0
-# Digests travel in heartbeats and in a query.
+# Digests are sent in heartbeats and in query strings.
 _DIGEST_MASK = 2**48 - 1
 
 
 def time_since_boot() -> float:
-    """Return seconds on a clock that goes on while the host is suspended.
+    """Return seconds on a clock that continues while the host is suspended.
 
-    By the steady clock a host that was away for a minute would take its
-    knowledge for newer than that of all others.
+    With the monotonic clock a host that was suspended for a minute would treat
+    its limits as newer than those of all other hosts.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
-    """What an upstream named last.
+class KnownLimit:
+    """The last limit announced by an upstream.
 
     Attributes:
-        born: The life that named it, as in its entry.
-        rate: Requests a second; None if it takes everything again.
-        seen_at: When an answer said so last, to this host or another.
+        born: Incarnation that announced it, as in its entry.
+        rate: Requests per second; None if the limit has ended.
+        seen_at: Time of the last answer with this limit to any host, in seconds
+            of the table's clock.
     """
 
     born: int
@@ -53,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedLimit:
-    """What one host hands another of a limit.
+    """A limit as sent to another host.
 
     Attributes:
-        born: The life that named it.
-        rate: Requests a second; None if it takes everything again.
-        age: Seconds since an answer said so.
+        born: Incarnation that announced it, as in its entry.
+        rate: Requests per second; None if the limit has ended.
+        age: Seconds since the last answer with this limit.
     """
 
     born: int
@@ -68,23 +71,23 @@
 
 @dataclass(slots=True)
 class LimitTable:
-    """What upstreams have named, by their names.
+    """The limits of all upstreams.
 
     Attributes:
         clock: Seconds on a clock that suspension does not stop.
-        rows: By name of the upstream.
-        digest: The same at hosts that know the same; 0 for nothing.
-        on_change: Called when there is something new.
+        rows: Limits by name of the upstream.
+        digest: Digest of all limits without their ages; 0 for an empty table.
+        on_change: Called when a limit has changed.
     """
 
     clock: Callable[[], float] = time_since_boot
-    rows: dict[str, NamedLimit] = field(default_factory=dict)
+    rows: dict[str, KnownLimit] = field(default_factory=dict)
     digest: int = 0
     on_change: Callable[[], None] = ignore
 
     @property
     def shared(self) -> dict[str, SharedLimit]:
-        """What other hosts are handed."""
+        """The limits as sent to other hosts, by name of the upstream."""
         now = self.clock()
         return {
             name: SharedLimit(row.born, row.rate, max(0.0, now - row.seen_at))
@@ -92,53 +95,56 @@
         }
 
     def rate_of(self, upstream: Upstream) -> float | None:
-        """Return what an upstream takes of all hosts; None if it is not bound.
+        """Return the limit of an upstream for all hosts; None without one.
 
         Args:
-            upstream: One life of an upstream.
+            upstream: An incarnation of an upstream.
+
+        Returns:
+            Requests per second.
         """
         row = self.rows.get(upstream.name)
         if row is None or row.born != upstream.entry.born:
             return None
         return row.rate
 
-    def note(self, upstream: Upstream, told: ToldLimit | None) -> None:
-        """Take in what an answer of an upstream names.
+    def note(self, upstream: Upstream, announced: ToldLimit | None) -> None:
+        """Record the limit in an answer of an upstream.
 
         Args:
-            upstream: Whose answer it is.
-            told: What it names; None if it names nothing.
+            upstream: The upstream that answered.
+            announced: The limit in the answer, or None.
         """
         born = upstream.entry.born
         known = self.rows.get(upstream.name)
         if known is not None and known.born != born:
             known = None
-        rate = None if told is None else _rate_in(told, known)
+        rate = None if announced is None else _rate_in(announced, known)
         if rate is None and known is None:
             return
-        news = NamedLimit(born, rate, self.clock())
-        self._put(upstream.name, news, 'answer')
+        limit = KnownLimit(born, rate, self.clock())
+        self._put(upstream.name, limit, 'answer')
 
     def merge_peer_limits(
-        self, told: Mapping[str, SharedLimit], source: str
+        self, limits: Mapping[str, SharedLimit], source: str
     ) -> None:
-        """Take in what another host knows.
+        """Merge the limits known to another host.
 
         Args:
-            told: Limits by name of the upstream.
-            source: The host, for the log.
+            limits: Limits by name of the upstream.
+            source: The other host, for the log.
         """
         now = self.clock()
-        for name, one in told.items():
+        for name, one in limits.items():
             self._put(
-                name, NamedLimit(one.born, one.rate, now - one.age), source
+                name, KnownLimit(one.born, one.rate, now - one.age), source
             )
 
     def forget(self, names: Collection[str]) -> None:
-        """Drop what nobody needs to know any more.
+        """Drop ended limits and limits of absent upstreams after a while.
 
         Args:
-            names: Names of the upstreams that are there.
+            names: Names of the present upstreams.
         """
         end = self.clock() - REMEMBERED_SECONDS
         old = [
@@ -149,46 +155,46 @@
         for name in old:
             self.digest ^= _digest_of(name, self.rows.pop(name))
 
-    def _put(self, name: str, news: NamedLimit, source: str) -> None:
+    def _put(self, name: str, limit: KnownLimit, source: str) -> None:
         known = self.rows.get(name)
-        if known is not None and not _is_newer(news, known):
+        if known is not None and not _is_newer(limit, known):
             return
-        self.rows[name] = news
+        self.rows[name] = limit
         before = None
         if known is not None:
-            if (known.born, known.rate) == (news.born, news.rate):
-                # Only its age is new.
+            if (known.born, known.rate) == (limit.born, limit.rate):
+                # Only the age has changed.
                 return
             before = known.rate
             self.digest ^= _digest_of(name, known)
-        self.digest ^= _digest_of(name, news)
+        self.digest ^= _digest_of(name, limit)
         log_event(
             'upstream-limit',
             upstream=name,
-            rate=news.rate,
+            rate=limit.rate,
             before=before,
             source=source,
         )
         self.on_change()
 
 
-def _rate_in(told: ToldLimit, known: NamedLimit | None) -> float | None:
-    """Return the rate that an answer names; None if it binds nobody.
+def _rate_in(announced: ToldLimit, known: KnownLimit | None) -> float | None:
+    """Return the rate announced in an answer; None if it is no limit.
 
-    One that names something unreadable is still in need: what it named before
-    holds on.
+    If the announced limit cannot be parsed, the upstream still wants one, so
+    the previous limit remains in force.
     """
-    if told.rate is None:
+    if announced.rate is None:
         return None if known is None else known.rate
-    return told.rate if told.rate < UNBOUND_RATE else None
+    return announced.rate if announced.rate < UNLIMITED_RATE else None
 
 
-def _is_newer(news: NamedLimit, known: NamedLimit) -> bool:
-    if news.born != known.born:
-        return news.born > known.born
-    return news.seen_at > known.seen_at
+def _is_newer(limit: KnownLimit, known: KnownLimit) -> bool:
+    if limit.born != known.born:
+        return limit.born > known.born
+    return limit.seen_at > known.seen_at
 
 
-def _digest_of(name: str, row: NamedLimit) -> int:
+def _digest_of(name: str, row: KnownLimit) -> int:
     named = f'{name} {row.born} {row.rate}'
     return xxh3_64_intdigest(named.encode()) & _DIGEST_MASK
--- a/src/wardstair/state/local_state.py
+++ b/src/wardstair/state/local_state.py
@@ -1,7 +1,7 @@
-"""What this host holds to be true: configuration, evacuations, upstreams.
+"""Local state of an entry host: configuration, evacuations, upstreams.
 
-One object a process; whoever learns something newer hands it in here, and
-here alone is decided what is newer.
+There is one object per process. Every source of state passes its data to it,
+and only this module decides what is newer.
 """
 
 from collections.abc import Callable, Iterable
@@ -31,9 +31,9 @@
 from wardstair.state.suspects import SuspectTable
 from wardstair.version.steering import Steering
 
-# Begin of the source of what another host has told.
+# Prefix of the source in the log for state from another host.
 PEER_SOURCE_PREFIX = 'host:'
-# What is followed for all hosts, and what the age of the state is of.
+# Kinds that every host needs; the age of the state covers all of them.
 STEERING_KINDS = (CONFIGURATION_KIND, EVACUATION_KIND, UPSTREAM_KIND)
 
 
@@ -46,18 +46,19 @@
         catalog: The upstreams.
         steering: The configuration in force, or None.
         document: The stored object it was decoded from, for other hosts.
-        adopted_at: When it was adopted.
-        evacuated: Availability zones that get nothing, kept ones included.
-        listed_zones: Those of them that the store lists.
-        kept_zones: Those of them that a restored store lacks and the operator
-            may write again.
+        adopted_at: Monotonic time in seconds at which it was adopted.
+        evacuated: Availability zones that receive no requests, including the
+            kept ones.
+        listed_zones: Evacuated zones that the store lists.
+        kept_zones: Evacuated zones that a restored store lacks and that the
+            operator may still write again.
         evacuations_revision: Revision of the set that the store lists.
-        suspects: Requests that ended upstreams.
-        limits: Limits that upstreams name.
-        notices: What upstreams have said of further requests.
-        on_steering: Called when a version is adopted.
-        reachability: Upstreams that this host reaches.
-        age: Up to which moment all of this is known.
+        suspects: Requests during which upstream processes exited.
+        limits: Rate limits announced by upstreams.
+        notices: Notices about further requests from upstreams.
+        on_steering: Called when a configuration version is adopted.
+        reachability: Which upstreams this host can reach.
+        age: Time up to which the state is known to be complete.
     """
 
     clock: Callable[[], float]
@@ -75,11 +76,12 @@
     on_steering: Callable[[], None] = field(default=lambda: None)
     reachability: ReachabilityTable = field(init=False)
     age: StateAge = field(init=False)
-    # Listed in this era and then not any more: ended, whoever keeps them.
+    # Listed and later dropped in this era. Their evacuation has ended, even if
+    # other hosts still keep it.
     _ended_zones: frozenset[str] = frozenset()
 
     def __post_init__(self) -> None:
-        """Begin with everything within reach."""
+        """Create the tables that depend on other fields."""
         self.reachability = ReachabilityTable(self.catalog)
         self.age = StateAge(self.clock, STEERING_KINDS)
 
@@ -96,7 +98,7 @@
 
     @property
     def versions(self) -> Versions:
-        """How new the state is."""
+        """Versions and digests that other hosts compare with their own."""
         steering = self.steering
         return Versions(
             -1 if steering is None else steering.version,
@@ -115,7 +117,7 @@
             source: Where it came from, for the log.
 
         Returns:
-            Whether it was adopted.
+            Whether the configuration was adopted.
         """
         if stored.metadata.name != CONFIGURATION_NAME:
             return False
@@ -153,7 +155,7 @@
 
     @property
     def shared_restore(self) -> SharedRestore | None:
-        """What other hosts should know of a restore; None if there is none."""
+        """Details of a recent restore for other hosts; None without one."""
         age = self.restoration.age
         if age is None or not self.restoration.is_recent:
             return None
@@ -166,13 +168,18 @@
         revision: Revision,
         source: str,
     ) -> bool:
-        """Take in the zones that get nothing; return whether that is news.
+        """Update the evacuated zones from a listing.
+
+        After a restore, evacuated zones that the store lacks are kept until
+        the restore is no longer recent.
 
         Args:
-            zones: All that the store lists. After a restore those that it
-                lacks are kept for a while.
+            zones: All zones that the store lists.
             revision: Store revision of the set; older ones are ignored.
             source: Where it came from, for the log.
+
+        Returns:
+            Whether the set of listed zones or the era has changed.
         """
         if revision < self.evacuations_revision:
             log_event(
@@ -187,9 +194,10 @@
         known = self.evacuations_revision
         is_of_this_era = known != NO_REVISION and known.era == revision.era
         if is_of_this_era and listed == self.listed_zones:
-            # The revision of the change stays, so that each reading does not
-            # make this host look ahead of the others. What another host tells
-            # is taken over: hosts that listed at different times agree then.
+            # Keeps the revision of the last change: raising it on each read
+            # would make this host appear ahead of its peers. A revision from a
+            # peer is adopted, so that hosts that listed at different times
+            # agree.
             if source.startswith(PEER_SOURCE_PREFIX):
                 self.evacuations_revision = revision
             return False
@@ -208,24 +216,24 @@
         return True
 
     def keep_evacuated(self, zones: Iterable[str], era: int) -> None:
-        """Keep zones that another host knew as evacuated before a restore.
+        """Keep zones that a peer knew as evacuated before a restore.
 
-        A host that starts after the restore reads the store without them.
+        A host that starts after the restore does not find them in the store.
 
         Args:
-            zones: What the other host keeps.
-            era: The era whose store lacks them.
+            zones: Zones that the peer keeps.
+            era: The era in which the store lacks them.
         """
         is_of_this_era = era == self.evacuations_revision.era
         if not (is_of_this_era and self.restoration.is_recent):
             return
-        settled = self.listed_zones | self._ended_zones
-        kept = self.kept_zones | (frozenset(zones) - settled)
+        decided = self.listed_zones | self._ended_zones
+        kept = self.kept_zones | (frozenset(zones) - decided)
         if kept != self.kept_zones:
             self._evacuate(kept, PEER_SOURCE_PREFIX)
 
     def expire_kept_zones(self) -> None:
-        """Give up what a restored store lacks and nobody wrote again."""
+        """Drop kept zones that were not written again after a restore."""
         if self.kept_zones and not self.restoration.is_recent:
             self._evacuate(frozenset(), 'not-written-again')
 
@@ -236,8 +244,8 @@
         ended = before - self.evacuated
         self.catalog.generation += 1
         for zone in ended:
-            # Its upstreams may have restarted meanwhile; their own word that
-            # they are cold may come later than this.
+            # Its upstreams may have restarted during the evacuation, and the
+            # entries that mark them as cold may arrive later.
             self.catalog.mark_cold(zone, self._cold_seconds)
         log_event(
             'evacuations-changed',
@@ -249,15 +257,15 @@
         )
 
     def upstreams_since(self, revision: Revision) -> CatalogChanges:
-        """Return what another host lacks of the upstreams.
+        """Return the changes of upstreams that another host lacks.
 
-        Those of a zone that is being emptied are told as cold, as they are
-        when that ends: the other host may learn of the end without ever having
-        known of the evacuation, from a host that is further, and would send to
-        them at full rate.
+        Upstreams of an evacuated zone are reported as cold, because they are
+        cold when the evacuation ends. The other host may receive the end of
+        the evacuation from a more recent peer without having known of the
+        evacuation. It would then send to them at full rate.
 
         Args:
-            revision: Up to which the other host knows everything.
+            revision: Revision up to which the other host knows everything.
         """
         changes = self.catalog.changes_since(revision)
         if not self.evacuated:
@@ -279,5 +287,5 @@
 
 
 def _digest_of(zones: frozenset[str]) -> int:
-    """Return a number that tells sets of zones apart; 0 for none."""
+    """Return a checksum of a set of zones; 0 for the empty set."""
     return crc32(','.join(sorted(zones)).encode()) if zones else 0
--- a/src/wardstair/state/notices.py
+++ b/src/wardstair/state/notices.py
@@ -1,7 +1,8 @@
-"""What upstreams have said of further requests in answers to this host.
+"""Notices about further requests in the answers of upstreams to this host.
 
-A notice binds this host alone and holds for the life of the upstream. It is
-kept apart from the catalog, whose entry of a life may vanish and come back.
+A notice applies to this host alone and holds for one incarnation of the
+upstream. Notices are kept apart from the catalog, because the entry of an
+incarnation may disappear from it and return.
 """
 
 import time
@@ -13,21 +14,21 @@
 from wardstair.process.log import log_event
 from wardstair.state.upstream import Upstream
 
-# Nothing is paused for longer than a day, whatever an answer names.
+# Limits a pause to one day, whatever the answer requests.
 MAX_PAUSE_SECONDS = 86_400.0
-# How long the notices of upstreams without an entry are kept. A store that was
-# restored from a copy may list such an upstream again.
+# Retention of the notices of upstreams without an entry: a restored store may
+# list such an upstream again.
 REMEMBERED_SECONDS = 600.0
 
 
 @dataclass(slots=True)
 class _Row:
-    """Notices of one life.
+    """Notices of one incarnation.
 
     Attributes:
-        born: The life, as in its entry.
-        notice: What it has said.
-        noted_at: When it last said something.
+        born: The incarnation, as in its entry.
+        notice: The notices in force.
+        noted_at: Monotonic time in seconds of the last notice.
     """
 
     born: int
@@ -37,13 +38,13 @@
 
 @dataclass(slots=True)
 class NoticeTable:
-    """Notices by name of the upstream; of its newest life that gave any.
+    """Notices of the newest incarnation of each upstream that sent any.
 
     Attributes:
         clock: Monotonic time in seconds.
-        drain_seconds: Returns the time after which an upstream that leaves
-            must not get any more.
-        counts: Answers with a notice, by its kind.
+        drain_seconds: Returns the seconds after which a leaving upstream must
+            not receive any more requests.
+        counts: Number of answers with a notice, by its kind.
     """
 
     clock: Callable[[], float] = time.monotonic
@@ -57,18 +58,18 @@
         return not self._rows
 
     def notice_of(self, upstream: Upstream) -> Notice:
-        """Return what a life of an upstream has said.
+        """Return the notices of an upstream.
 
         Args:
-            upstream: One life of an upstream.
+            upstream: An incarnation of an upstream.
         """
         return self._known(upstream) or Notice()
 
     def availability(self, upstream: Upstream) -> Standing:
-        """Return what a life of an upstream takes from this host now.
+        """Return which requests an upstream accepts from this host now.
 
         Args:
-            upstream: One life of an upstream.
+            upstream: An incarnation of an upstream.
         """
         notice = self._known(upstream)
         if notice is None:
@@ -76,10 +77,10 @@
         return standing_of(notice, self.clock(), self.drain_seconds())
 
     def note_leaving(self, upstream: Upstream) -> None:
-        """Note that an answer of an upstream says that it will end soon.
+        """Record an answer that announces that the upstream will exit soon.
 
         Args:
-            upstream: The life whose answer it is.
+            upstream: The incarnation that answered.
         """
         self.counts[Standing.leaving] += 1
         row = self._row_of(upstream)
@@ -94,13 +95,13 @@
         )
 
     def note_pause(self, upstream: Upstream, seconds: float) -> None:
-        """Note that an upstream wants no request from this host for a time.
+        """Record an answer that asks this host to pause its requests.
 
-        A later answer may extend the time and does not shorten it.
+        A later answer may extend the pause but does not shorten it.
 
         Args:
-            upstream: The life whose answer it is.
-            seconds: How long, from now.
+            upstream: The incarnation that answered.
+            seconds: Duration of the pause from now.
         """
         self.counts[Standing.paused] += 1
         row = self._row_of(upstream)
@@ -119,10 +120,10 @@
         notice.paused_until = max(notice.paused_until, end)
 
     def forget(self, names: Collection[str]) -> None:
-        """Drop pauses that are over, and upstreams that left long ago.
+        """Drop pauses that have ended and upstreams that left long ago.
 
         Args:
-            names: Names of the upstreams that are there.
+            names: Names of the present upstreams.
         """
         now = self.clock()
         self._rows = {
@@ -138,7 +139,7 @@
         return row.notice
 
     def _row_of(self, upstream: Upstream) -> _Row | None:
-        """Return where to note of a life; None if a later one has spoken."""
+        """Return the row of an incarnation; None if a later one has a row."""
         now = self.clock()
         born = upstream.entry.born
         row = self._rows.get(upstream.name)
--- a/src/wardstair/state/reachability.py
+++ b/src/wardstair/state/reachability.py
@@ -1,8 +1,9 @@
-"""Which upstreams this host reaches, from its own sends.
+"""Which upstreams this host can reach, according to its own requests.
 
-A group of upstreams (all, a zone's, a service's) is lost once several of it
-have failed and none has answered between. While answers have stopped coming
-and nothing is proved yet, reach is in doubt.
+A group of upstreams (all, those of a zone, those of a service) is unreachable
+once several of its members have failed without an answer in between.
+Reachability is suspect while answers have stopped arriving but the failures do
+not yet prove a lost group.
 """
 
 from collections.abc import Callable
@@ -26,26 +27,26 @@
 from wardstair.state.entries import UpstreamEntry
 from wardstair.state.roles import ignore
 
-# Time of contact, in seconds, until the settings of the host are known.
-DEFAULT_CONTACT = 2.0
+# Contact period until the settings of the host are known.
+DEFAULT_CONTACT_SECONDS = 2.0
 
 
 @dataclass(slots=True)
 class ReachabilityTable:
-    """What this host reaches; one a process.
+    """Reachability of upstreams from this host; one per process.
 
     Attributes:
         catalog: The upstreams.
-        lost: Groups of which no upstream is reached; only `ALL` if it is that.
-        is_suspect: Whether upstreams may have gone out of reach just now.
-        answers: Answers of upstreams so far.
-        suspect_count: How often reach came to be in doubt.
-        opening: What new connections have shown.
-        times: Returns how long to wait for what.
-        on_suspect: Called when a doubt begins.
-        on_opening_suspect: Called when a doubt of new connections begins.
+        lost: Unreachable groups; only `ALL` if no upstream is reachable.
+        is_suspect: Whether upstreams may have become unreachable just now.
+        answers: Number of answers of upstreams so far.
+        suspect_count: How often reachability has become suspect.
+        opening: Results of new connections.
+        times: Returns the times used for detection.
+        on_suspect: Called when reachability becomes suspect.
+        on_opening_suspect: Called when new connections become suspect.
         on_change: Called when `lost` has changed.
-        on_regained: Called with the groups that are reached again.
+        on_regained: Called with the groups that are reachable again.
     """
 
     catalog: Catalog
@@ -54,25 +55,27 @@
     answers: int = 0
     suspect_count: int = 0
     opening: OpeningReach = field(default_factory=OpeningReach)
-    times: Callable[[], ReachTimes] = lambda: reach_times(DEFAULT_CONTACT)
+    times: Callable[[], ReachTimes] = lambda: reach_times(
+        DEFAULT_CONTACT_SECONDS
+    )
     on_suspect: Callable[[], None] = ignore
     on_opening_suspect: Callable[[], None] = ignore
     on_change: Callable[[], None] = ignore
     on_regained: Callable[[frozenset[str]], None] = lambda _groups: None
     _watch: SilenceWatch = field(default_factory=SilenceWatch)
     _groups: dict[str, GroupReach] = field(default_factory=dict)
-    _places: dict[tuple[str, str], tuple[GroupReach, ...]] = field(
+    _groups_by_place: dict[tuple[str, str], tuple[GroupReach, ...]] = field(
         default_factory=dict,
     )
 
     @property
     def is_sound(self) -> bool:
-        """Whether nothing is lost or in doubt."""
+        """Whether all groups are reachable and none is suspect."""
         return not (self.lost or self.is_suspect)
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether no upstream at all is reached."""
+        """Whether no upstream at all is reachable."""
         return ALL in self.lost
 
     @property
@@ -82,21 +85,21 @@
 
     @property
     def silent_seconds(self) -> float:
-        """Seconds since any upstream answered."""
+        """Seconds since the last answer of any upstream."""
         return self.catalog.clock() - self.reached_at
 
     @property
     def has_failures(self) -> bool:
-        """Whether several upstreams have failed with no answer between."""
+        """Whether several upstreams have failed without an answer between."""
         return len(self._group(ALL).failed) >= LEAST_NEEDED
 
     @property
     def is_failing(self) -> bool:
-        """Whether upstreams have failed for a while with no answer between."""
+        """Whether upstreams have failed for a while without any answer."""
         return self._group(ALL).is_suspected(self.catalog.clock())
 
     def looks_silent(self) -> bool:
-        """Return whether answers seem to have stopped coming."""
+        """Return whether answers seem to have stopped arriving."""
         self._watch.step(self.answers, self.catalog.clock())
         if self.silent_seconds < self.times().silence:
             return False
@@ -112,7 +115,7 @@
         return self._watch.is_unusual(self.silent_seconds, overdue)
 
     def may_reach(self, service: str) -> bool:
-        """Return whether upstreams of a service may be within reach."""
+        """Return whether upstreams of a service may be reachable."""
         if self.is_sound:
             return True
         if self.is_suspect or ALL in self.lost:
@@ -120,21 +123,21 @@
         return service_group(service) not in self.lost
 
     def is_zone_lost(self, zone: str) -> bool:
-        """Return whether no upstream of a zone is reached."""
+        """Return whether no upstream of a zone is reachable."""
         return zone_group(zone) in self.lost
 
     def note_reached(self, entry: UpstreamEntry) -> None:
-        """Note that an upstream has answered."""
+        """Record an answer of an upstream."""
         self.answers += 1
         self.is_suspect = False
         now = self.catalog.clock()
         for group in self._groups_of(entry):
             group.note_reached(now)
         if self.lost and not self.lost.isdisjoint(_names_of(entry)):
-            self._settle()
+            self._update_lost()
 
     def note_failed(self, entry: UpstreamEntry) -> None:
-        """Note that an upstream could not be reached, or broke off."""
+        """Record a failed connection attempt or a broken exchange."""
         now = self.catalog.clock()
         may_be_lost = False
         for group in self._groups_of(entry):
@@ -144,40 +147,40 @@
             return
         if self._group(ALL).is_suspected(now):
             self.mark_suspect('failures')
-        self._settle()
+        self._update_lost()
 
     def may_open(self, entry: UpstreamEntry) -> bool:
-        """Return whether a request may go on a new connection."""
+        """Return whether a request may use a new connection."""
         opening = self.opening
         return opening.is_sound or opening.may_open(_names_of(entry))
 
     def note_opened(self, entry: UpstreamEntry) -> None:
-        """Note an answer on a connection that had served nothing before."""
+        """Record the first answer on a new connection."""
         was_sound = self.opening.is_sound
         self.opening.note_answered(_names_of(entry), self.catalog.clock())
         if not was_sound:
-            self._settle_opening()
+            self._update_opening()
 
     def note_unopened(self, entry: UpstreamEntry) -> None:
-        """Note a connection that ended before it had served anything."""
+        """Record a connection that ended before its first answer."""
         now = self.catalog.clock()
         opening = self.opening
         if not opening.note_failed(entry.name, _names_of(entry), now):
             return
-        self._settle_opening()
+        self._update_opening()
         if opening.begin_doubt():
             log_event('opening-doubted', upstream=entry.name)
             self.on_opening_suspect()
 
     def clear_opening_suspect(self) -> None:
-        """Note that upstreams were asked on new connections."""
+        """Record that upstreams were probed on new connections."""
         self.opening.is_doubted = False
 
     def mark_suspect(self, reason: str) -> None:
-        """Note that no upstream may be within reach.
+        """Record that possibly no upstream is reachable.
 
         Args:
-            reason: Why, for the log.
+            reason: The reason, for the log.
         """
         if self.is_suspect or self.is_cut_off:
             return
@@ -192,16 +195,16 @@
         self.on_suspect()
 
     def clear_suspect(self) -> None:
-        """Note that nothing has confirmed a doubt."""
+        """Record that no evidence confirmed the suspicion."""
         self.is_suspect = False
 
     def refresh(self) -> None:
-        """Forget upstreams that take no work any more."""
-        self._settle()
-        self._settle_opening()
+        """Update the groups after upstreams have left the catalog."""
+        self._update_lost()
+        self._update_opening()
 
     def members_of(self, group: str) -> list[UpstreamEntry]:
-        """Return the upstreams of a group that take work."""
+        """Return the upstreams of a group that accept work."""
         return [
             entry
             for entry in self.catalog.in_service
@@ -213,14 +216,14 @@
 
     def _groups_of(self, entry: UpstreamEntry) -> tuple[GroupReach, ...]:
         place = (entry.zone, entry.service)
-        known = self._places.get(place)
+        known = self._groups_by_place.get(place)
         if known is None:
             known = tuple(self._group(name) for name in _names_of(entry))
-            self._places[place] = known
+            self._groups_by_place[place] = known
         return known
 
-    def _settle(self) -> None:
-        """Work out what is lost."""
+    def _update_lost(self) -> None:
+        """Determine which groups are lost and report changes."""
         before = self.lost
         self.lost = self._lost_now()
         if self.lost == before:
@@ -239,8 +242,8 @@
             self.on_regained(regained)
         self.on_change()
 
-    def _settle_opening(self) -> None:
-        """Work out to whom new connections fail."""
+    def _update_opening(self) -> None:
+        """Determine to which groups new connections fail."""
         before = self.opening.closed
         if self.opening.settle(self._members()):
             log_warning(
@@ -262,7 +265,8 @@
             for name in lost_groups(self._groups, members)
             if self._groups[name].is_suspected(now)
         }
-        # With one upstream in all there is nothing to compare it with.
+        # A single upstream cannot be compared with others, so its own failures
+        # are enough.
         if len(members) == 1 and self._group(ALL).failed:
             lost.add(ALL)
         return outermost(lost)
--- a/src/wardstair/state/refreshing.py
+++ b/src/wardstair/state/refreshing.py
@@ -1,4 +1,4 @@
-"""Asks the store when nothing else has told for too long that all is known."""
+"""Queries the store when this host's state has not been confirmed for long."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,10 +13,10 @@
 
 
 class StateRefresher:
-    """Looks how old the state of this host is; a task of its own runs it.
+    """Monitors the age of this host's state; a task of its own runs it.
 
     Attributes:
-        asked: Times that the store was asked.
+        asked: Number of times that the store was queried.
     """
 
     def __init__(
@@ -27,14 +27,15 @@
         roles: Roles,
         times: Callable[[], RefreshTimes],
     ) -> None:
-        """Prepare without a call.
+        """Initialize without calling the store.
 
         Args:
-            sync: Asks the store.
-            local_state: The state.
+            sync: Queries the store.
+            local_state: The state of this host.
             contact: Contact with the store.
-            roles: What this host does for others.
-            times: When the state is too old, by the bounds in force.
+            roles: The roles of this host.
+            times: Returns the ages from which the state is too old, for the
+                bounds in force.
         """
         self.asked = 0
         self._sync = sync
@@ -42,27 +43,27 @@
         self._contact = contact
         self._roles = roles
         self._times = times
-        self._asking: set[asyncio.Task[None]] = set()
+        self._queries: set[asyncio.Task[None]] = set()
         self._asked_at = float('-inf')
-        # When the first configuration was known: a host that starts is told
-        # the rest, or reads it, soon after.
-        self._began_at: float | None = None
+        # Monotonic time in seconds at which the first configuration was known.
+        # A starting host receives or reads the remaining state soon after.
+        self._configured_at: float | None = None
 
     def close(self) -> None:
-        """End what is asked."""
-        for task in self._asking:
+        """Cancel the queries in progress."""
+        for task in self._queries:
             task.cancel()
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check the age until cancelled."""
         while True:
             times = self._times()
             await asyncio.sleep(times.look)
             self._local_state.age.tick(times.look)
             is_new_sentinel = self._sync.update_role()
-            # While a fleet starts, each host is a sentinel for a moment.
-            if self._has_begun() and (is_new_sentinel or self._is_old(times)):
-                self._ask()
+            # While a fleet starts, each host is a sentinel for a short time.
+            if self._has_started() and (is_new_sentinel or self._is_old(times)):
+                self._query()
 
     def _is_old(self, times: RefreshTimes) -> bool:
         age = self._local_state.age.seconds
@@ -70,24 +71,24 @@
             return False
         since = asyncio.get_running_loop().time() - self._asked_at
         ask = ask_after(times, tells_others=self._roles.is_relay())
-        return age >= ask and may_ask(len(self._asking), since, times.again)
+        return age >= ask and may_ask(len(self._queries), since, times.again)
 
-    def _has_begun(self) -> bool:
+    def _has_started(self) -> bool:
         if self._local_state.steering is None:
             return False
         now = asyncio.get_running_loop().time()
-        if self._began_at is None:
-            self._began_at = now
-        return now - self._began_at >= SETTLE_SECONDS
+        if self._configured_at is None:
+            self._configured_at = now
+        return now - self._configured_at >= SETTLE_SECONDS
 
-    def _ask(self) -> None:
+    def _query(self) -> None:
         if self._contact.is_lost:
-            # Whoever asks whether the store is back reads what has changed.
+            # The task that retries the store reads the changes as well.
             return
-        if not self._asking:
+        if not self._queries:
             log_event('state-old', age=round(self._local_state.age.seconds, 3))
         self._asked_at = asyncio.get_running_loop().time()
         self.asked += 1
         task = asyncio.ensure_future(self._sync.check())
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+        self._queries.add(task)
+        task.add_done_callback(self._queries.discard)
--- a/src/wardstair/state/registration.py
+++ b/src/wardstair/state/registration.py
@@ -1,9 +1,10 @@
-"""The registry of entry hosts in the store, for those who find nobody.
+"""The registry of entry hosts in the store, a fallback for discovery.
 
-Hosts find each other through seeds and through one another. The store is for
-what that cannot mend: seeds that are gone, and halves of a fleet that formed
-apart. Only relays, and hosts that nobody answers, write and read it, so that
-its cost grows with the zones and not with the hosts.
+Hosts usually find each other through seeds and through other hosts. The
+registry covers the cases in which this fails: seeds that no longer exist, and
+parts of a fleet that started separately. Only relays and hosts without any peer
+read and write it, so that its cost grows with the number of zones and not with
+the number of hosts.
 """
 
 import asyncio
@@ -31,20 +32,20 @@
 from wardstair.state.revision import Revision
 
 Step = Callable[[], Awaitable[bool]]
-# How often a relay reads who else is there: two halves of a zone that formed
-# apart have met after this and a heartbeat. Also how often hosts are looked for
-# that are gone for good.
+# Interval at which a relay reads the registry and removes hosts that are gone.
+# Separately started parts of a zone find each other within this time plus one
+# heartbeat.
 DISCOVERY_SECONDS = 15.0
-# How often it looks whether it has become one.
-LOOK_SECONDS = 1.0
-# An object is written anew when the fleet has grown by this factor since: what
-# it states is for hosts that are alone, and keeps them from spending more than
-# twice their part.
+# Interval at which a host checks whether it has become a relay.
+POLL_SECONDS = 1.0
+# A host's object is rewritten when the fleet has grown by this factor. Isolated
+# hosts compute their shares from the stated fleet size, so this keeps them from
+# using more than twice their share.
 GROWN_FACTOR = 2.0
 
 
 class Registration:
-    """This host's object in the store, and those of others."""
+    """This host's object in the store and those of other hosts."""
 
     def __init__(
         self,
@@ -56,13 +57,13 @@
         *,
         is_first_start: bool,
     ) -> None:
-        """Prepare without a call.
+        """Initialize without calling the store.
 
         Args:
             store: The store.
             contact: Contact with it.
             own: This host.
-            members: Where found hosts are noted.
+            members: Receives the hosts that are found.
             restoration: The last restore of the store.
             is_first_start: Whether the whole fleet starts for the first time.
         """
@@ -71,32 +72,32 @@
         self._own = own
         self._members = members
         self._restoration = restoration
-        # Of the hosts' objects, as last read.
+        # Revisions of the hosts' objects as last read, by host name.
         self._revisions: dict[str, Revision] = {}
         self._is_first_start = is_first_start
         self._is_registered = False
-        # Size of the fleet that this host's object states; 0 without one.
+        # Fleet size in this host's object; 0 without an object.
         self._stated_size = 0
-        # Complete era that this host's object last stated.
+        # Complete era in this host's object.
         self._stated_era = 0
 
     async def run(self) -> None:
-        """Meet others in the store as often as it takes, until cancelled."""
+        """Register and discover hosts while a relay, until cancelled."""
         await asyncio.sleep(SETTLE_SECONDS)
         while True:
             if self._members.is_relay:
                 await self._discover()
                 await asyncio.sleep(DISCOVERY_SECONDS)
             else:
-                await asyncio.sleep(LOOK_SECONDS)
+                await asyncio.sleep(POLL_SECONDS)
 
     async def check_for_restore(self) -> None:
         """Determine whether the store may have been restored recently.
 
         Does nothing on the first start of the fleet, if a host with a
-        configuration was heard, or if the store is in its first era or reports
-        none. Otherwise, a recent restore is assumed unless one of the hosts'
-        objects states that the current era is complete. It is also assumed if
+        configuration sent a heartbeat, or if the store is in its first era or
+        reports none. Otherwise, a recent restore is assumed unless a host's
+        object states that the current era is complete. It is also assumed if
         the objects cannot be read.
         """
         if self._is_first_start or self._members.has_heard_configured:
@@ -121,9 +122,10 @@
                 self._restoration.note_complete_era(host.complete_era)
 
     async def _discover(self) -> None:
-        """Make sure that this host is in the store, read who else is, clean up.
+        """Register this host if necessary, read the registry and clean it up.
 
-        Of any two that come the one that reads later knows the other.
+        Each host reads the registry after its registration. Of two hosts that
+        start at once, the one that reads later therefore finds the other.
         """
         if self._is_registered:
             await self._until_done(self._find_stale)
@@ -135,7 +137,7 @@
         await self._clean()
 
     async def _register_once(self) -> None:
-        """Look whether an earlier run is registered; register if not."""
+        """Register this host unless an earlier run has done so."""
         if not self._is_first_start:
             await self._until_done(self._find)
         if not self._stated_size:
@@ -157,8 +159,8 @@
                 self._note_stated(host)
                 return True
             case Err(VersionConflict()):
-                # From an earlier run of this host, or its own call whose
-                # answer was lost; the addresses may have changed.
+                # The object is from an earlier run of this host or from a call
+                # whose answer was lost. The addresses may have changed.
                 return await self._restate()
             case Err(error):
                 self._note_failure('registration', error)
@@ -176,7 +178,7 @@
                 self._note_stated(host)
                 return True
             case Err(ObjectMissing()):
-                # Removed: the next listing shows it, and the log tells then.
+                # The object was removed. The next listing detects and logs it.
                 self._contact.note_success()
                 return True
             case Err(error):
@@ -224,7 +226,7 @@
         return True
 
     def _note_absence(self) -> None:
-        """Register with the next reading: not yet there, or removed."""
+        """Let the next discovery register this host, which is not listed."""
         if self._is_registered:
             log_event('host-unregistered', host=self._own.name)
         self._stated_size = 0
@@ -237,23 +239,23 @@
             return
         peer = host.peer
         if peer.name == self._own.name and not self._is_registered:
-            self._recognise(host)
+            self._adopt_registration(host)
         self._revisions[peer.name] = stored.revision
         members = self._members
         members.registered_size = max(members.registered_size, host.fleet_size)
         self._restoration.note_complete_era(host.complete_era)
         found.append(peer)
 
-    def _recognise(self, host: RegisteredHost) -> None:
-        """Note that this host's object is there, if it says what is true."""
+    def _adopt_registration(self, host: RegisteredHost) -> None:
+        """Adopt this host's object of an earlier run if it is still correct."""
         own = self._own
-        # The size of the host is not in the store.
+        # The store does not contain the number of cores of a host.
         if replace(host.peer, size=own.size) == own:
             self._stated_size = max(host.fleet_size, 1)
             self._stated_era = host.complete_era
 
     async def _clean(self) -> None:
-        """Remove hosts that are gone; one relay does it for each."""
+        """Remove hosts that are gone; one relay is responsible for each."""
         if not self._contact.is_held:
             return
         known = self._revisions
@@ -266,24 +268,25 @@
         ]
         if not mine:
             return
-        # A restored store may have issued a number again, for a host that has
-        # registered anew and lives: only its era tells.
+        # A restored store may have issued the same revision number again to a
+        # host that has registered anew and is running. Deletion is conditional
+        # on the number only, so the era has to be compared here.
         await self._until_done(self._find)
         for name in mine:
-            is_as_judged = self._revisions.get(name) == known[name]
-            if is_as_judged and not await self._remove(name, known[name]):
+            is_unchanged = self._revisions.get(name) == known[name]
+            if is_unchanged and not await self._remove(name, known[name]):
                 return
 
     async def _remove(self, name: str, revision: Revision) -> bool:
         deleted = await self._store.delete(HOST_KIND, name, revision.number)
         match deleted:
             case Ok() | Err(ObjectMissing()) | Err(VersionConflict()):
-                # In conflict the host has registered anew: it lives.
+                # A conflict means that the host has registered again.
                 self._revisions.pop(name, None)
                 log_event('host-removed', host=name, outcome=str(deleted))
                 return True
             case Err(error):
-                # Tried again at the next cleaning.
+                # The next cleanup tries again.
                 reason = getattr(error, 'message', type(error).__name__)
                 log_event('host-not-removed', host=name, reason=reason)
                 return False
--- a/src/wardstair/state/restoration.py
+++ b/src/wardstair/state/restoration.py
@@ -1,15 +1,15 @@
-"""The last restore of the store from a copy, and how long ago it was.
+"""The last restore of the store from a backup, and how long ago it was.
 
-A restored store lacks what was written last, until its writers write it again.
-For as long as that takes, what hosts knew before stays in force.
+A restored store lacks the latest objects until their writers write them again.
+Meanwhile the state that hosts knew before the restore remains in force.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Final
 
-# Four heartbeats of an upstream, as long as its entry outlasts it. The store
-# drops by then what it lists of upstreams that had left.
+# Four heartbeats of an upstream, after which its entry expires. By then the
+# store has dropped the entries of upstreams that had left.
 _USUAL_SECONDS: Final = 6.0
 # A store in its first era was never restored.
 FIRST_ERA: Final = 1
@@ -21,19 +21,21 @@
 
 @dataclass(slots=True)
 class Restoration:
-    """The last restore of the store that a host knows of.
+    """The last known restore of the store.
 
     Attributes:
         clock: Monotonic time in seconds.
-        period: Returns how long writers may take to write again, in seconds.
-        era: The latest era that is known; 0 for none.
-        began_at: When the first host noticed the restore; None if this host
-            knows of none, or started after it and has not been told.
+        period: Returns how long writers may take to write their objects again,
+            in seconds.
+        era: The latest known era; 0 for none.
+        began_at: Monotonic time at which the first host noticed the restore;
+            None if this host knows of no restore, or started after it and has
+            not received its age from a peer.
         reported_complete_era: The latest era in which a host found the store
             complete again, as stated in the hosts' objects; 0 for none.
         is_assumed: Whether the restore is assumed to be recent. A host that
-            starts while no other is running learns the store's era, but not
-            when it began.
+            starts while no other is running receives the store's era, but not
+            the time at which it began.
     """
 
     clock: Callable[[], float]
@@ -55,20 +57,20 @@
 
     @property
     def is_recent(self) -> bool:
-        """Whether what the store lacks may still be written again."""
+        """Whether missing objects may still be written again."""
         age = self.age
         return age is not None and age < self.period()
 
     def enter(self, era: int) -> None:
-        """Note an era in which the store, or another host, has spoken."""
+        """Record the era in a message of the store or of another host."""
         if era <= self.era:
             return
-        # Learning an era for the first time does not indicate a restore.
+        # The first era that is received does not indicate a restore.
         self.began_at = self.clock() if self.era else None
         self.era = era
 
     def note_complete_era(self, era: int) -> None:
-        """Note an era in which a host found the store complete again."""
+        """Record an era in which a host found the store complete again."""
         self.reported_complete_era = max(self.reported_complete_era, era)
 
     def assume_recent(self) -> None:
@@ -83,18 +85,19 @@
             self.is_assumed = True
 
     def merge_peer_report(self, era: int, age: float) -> None:
-        """Take in what another host tells of the restore.
+        """Merge the age of the restore reported by another host.
 
-        The earliest notice counts. A host that has the store back late would
-        otherwise keep for the whole period what the others gave up long ago.
+        The earliest notice counts. Otherwise a host that reconnects to the
+        store late would keep state for the whole period that the other hosts
+        have already dropped.
 
         Args:
-            era: The era that began with it.
-            age: Seconds since the other host knows of it.
+            era: The era that began with the restore.
+            age: Seconds since the first host noticed the restore.
         """
         self.enter(era)
         if era < self.era:
             return
-        told = self.clock() - age
+        reported = self.clock() - age
         known = self.began_at
-        self.began_at = told if known is None else min(known, told)
+        self.began_at = reported if known is None else min(known, reported)
--- a/src/wardstair/state/revision.py
+++ b/src/wardstair/state/revision.py
@@ -1,18 +1,18 @@
-"""The order of what the platform's store says."""
+"""Revisions of the platform's store and their order."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Revision:
-    """A revision of the store, with the era of the store that issued it.
+    """A revision of the store within an era.
 
-    Eras compare first: a restored store issues lower numbers again, and what it
-    says with them is newer than anything of the era before.
+    Eras compare first: a restored store issues lower numbers again, but its
+    objects are newer than all objects of the previous era.
 
     Attributes:
-        era: Rises each time that the store is restored from a copy; 0 if the
-            store does not tell.
+        era: Rises each time that the store is restored from a backup; 0 if the
+            store does not report it.
         number: The store's revision within that era.
     """
 
@@ -20,9 +20,9 @@
     number: int = 0
 
     def __str__(self) -> str:
-        """Return it as log lines tell it: `era.number`."""
+        """Return the revision in the format of log lines: `era.number`."""
         return f'{self.era}.{self.number}'
 
 
-# Before anything was read.
+# The revision before the first read.
 NO_REVISION = Revision()
--- a/src/wardstair/state/roles.py
+++ b/src/wardstair/state/roles.py
@@ -1,4 +1,4 @@
-"""What a host does for others, as the tasks that keep its state see it."""
+"""The roles of a host that determine which state it reads from the store."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,12 +17,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Roles:
-    """The roles of this host now; each host decides its own.
+    """The current roles of this host; each host determines its own.
 
     Attributes:
-        is_relay: Whether it speaks for its zone and watches the store for it.
-        is_sentinel: Whether it also watches the store closely for all zones.
-        is_first_sentinel: Whether it does so more closely than the other.
+        is_relay: Returns whether it represents its zone to other zones and
+            watches the store for it.
+        is_sentinel: Returns whether it also watches the store with short waits
+            for all zones.
+        is_first_sentinel: Returns whether it uses the shortest waits of all
+            sentinels.
     """
 
     is_relay: Callable[[], bool] = always
--- a/src/wardstair/state/stale_entries.py
+++ b/src/wardstair/state/stale_entries.py
@@ -1,7 +1,8 @@
-"""Entries that a restored store lists though their upstreams had left.
+"""Entries that a restored store lists although their upstreams had left.
 
-The copy is older than the upstream's end, or than its word that it drains. Such
-an entry goes when the store notices the silence; until then it is not used.
+The backup is older than the upstream's exit or than the start of its drain.
+Such an entry expires in the store for lack of heartbeats; it is not used until
+then.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -13,29 +14,30 @@
 
 @dataclass(slots=True)
 class StaleEntries:
-    """Entries that are not believed while a restore is recent."""
+    """Entries that are ignored while a restore is recent."""
 
     _entries: dict[str, UpstreamEntry] = field(default_factory=dict)
 
     @property
     def entries(self) -> tuple[UpstreamEntry, ...]:
-        """The entries, for other hosts."""
+        """The stale entries, for other hosts."""
         return tuple(self._entries.values())
 
     def has(self, name: str) -> bool:
-        """Return whether the entry of a name is not believed."""
+        """Return whether the entry of an upstream is stale."""
         return name in self._entries
 
-    def begin(
+    def start_era(
         self,
         listed: Iterable[UpstreamEntry],
         had_left: Callable[[UpstreamEntry], bool],
     ) -> None:
-        """Look through the first listing of an era.
+        """Find the stale entries in the first listing of an era.
 
         Args:
             listed: All entries.
-            had_left: Whether this host knew the life of an entry to have left.
+            had_left: Returns whether this host knew that the incarnation of an
+                entry had left.
         """
         self._entries = {
             entry.name: entry for entry in listed if had_left(entry)
@@ -47,8 +49,8 @@
                 revision=entry.revision,
             )
 
-    def compare(self, listed: Mapping[str, UpstreamEntry]) -> None:
-        """Believe what a later listing has a newer word of, or lacks.
+    def drop_updated(self, listed: Mapping[str, UpstreamEntry]) -> None:
+        """Drop entries that a later listing lacks or has in a newer revision.
 
         Args:
             listed: All entries by name.
@@ -59,16 +61,16 @@
             if name in listed and listed[name].revision == entry.revision
         }
 
-    def share(self, told: Iterable[UpstreamEntry]) -> None:
-        """Doubt what another host does."""
-        self._entries.update((entry.name, entry) for entry in told)
+    def merge(self, entries: Iterable[UpstreamEntry]) -> None:
+        """Add the stale entries of another host."""
+        self._entries.update((entry.name, entry) for entry in entries)
 
-    def settle(self, name: str) -> None:
-        """Note that an upstream, or the store, has said something newer."""
+    def discard(self, name: str) -> None:
+        """Drop an entry that the store has changed or deleted."""
         self._entries.pop(name, None)
 
-    def release(self) -> tuple[UpstreamEntry, ...]:
-        """Return all entries and doubt them no more."""
-        released = self.entries
+    def pop_all(self) -> tuple[UpstreamEntry, ...]:
+        """Remove and return all entries."""
+        popped = self.entries
         self._entries = {}
-        return released
+        return popped
--- a/src/wardstair/state/suspect_sharing.py
+++ b/src/wardstair/state/suspect_sharing.py
@@ -1,8 +1,8 @@
-"""Keeps what is known of requests that end upstreams in the store.
+"""Keeps the evidence against suspect requests in the store.
 
-Hosts tell one another first; the store is for hosts that are cut off from each
-other, and for what has to outlast the loss of all of them. One object holds
-what all know: sentinels, a few a fleet, follow it and write it.
+Hosts exchange evidence directly. The store serves hosts that cannot reach each
+other and preserves the evidence if all hosts are lost. One object holds the
+evidence of all hosts; only the sentinels, a few per fleet, watch and write it.
 """
 
 import asyncio
@@ -29,17 +29,19 @@
 from wardstair.state.suspects import SuspectTable
 from wardstair.state.watching import KindWatcher, WatchPlan, WatchSinks
 
-# Sentinels that learn of the same wait up to this long, so that mostly one of
-# them writes; with the watch that follows, others know within 0.5 s.
+# Maximum random delay before a write, so that usually only one of the sentinels
+# with the same evidence writes. Including the watch, other sentinels receive it
+# within 0.5 s.
 SPREAD_SECONDS = 0.3
-# Ends come in series; each write takes in what came since the last one.
+# Upstreams often crash in series. A pause combines the evidence of several
+# crashes in one write.
 PAUSE_SECONDS = 0.5
-# How often a host looks whether it has become a sentinel.
-LOOK_SECONDS = 1.0
+# Interval at which a host checks whether it has become a sentinel.
+POLL_SECONDS = 1.0
 
 
 class SuspectSharing:
-    """Reads and writes the one object; a task of its own runs each half."""
+    """Reads and writes the shared object, with a task for each direction."""
 
     def __init__(
         self,
@@ -49,34 +51,34 @@
         roles: Roles,
         random: Random,
     ) -> None:
-        """Prepare without a call.
+        """Initialize without calling the store.
 
         Args:
             store: The store.
             contact: Contact with it.
-            suspects: What this host knows.
-            roles: What this host does for others.
-            random: Source of the spread of writes.
+            suspects: The evidence known to this host.
+            roles: The roles of this host.
+            random: Source of the random delay of writes.
         """
         self.changed = asyncio.Event()
         self.watcher = KindWatcher(
             store,
             contact,
             WatchPlan(SUSPECTS_KIND, is_wanted=roles.is_sentinel),
-            WatchSinks(self._list, self._change, _pass_revision),
+            WatchSinks(self._list, self._change, _ignore_revision),
         )
         self._store = store
         self._contact = contact
         self._suspects = suspects
         self._roles = roles
         self._random = random
-        # What the object holds as far as this host knows, and its revision.
+        # Last known content of the object, and its revision.
         self._stored: Mapping[str, Evidence] = {}
         self._revision = NO_REVISION
 
     @property
     def is_due(self) -> bool:
-        """Whether this host has something that the object lacks."""
+        """Whether this host has evidence that the object lacks."""
         if not self._roles.is_sentinel() or not self._contact.is_held:
             return False
         return self.watcher.has_listed and any(
@@ -85,7 +87,7 @@
         )
 
     async def run(self) -> None:
-        """Write what the object lacks until cancelled."""
+        """Write evidence that the object lacks until cancelled."""
         while True:
             self.changed.clear()
             if self.is_due:
@@ -97,19 +99,20 @@
 
     async def _wait(self) -> None:
         try:
-            async with asyncio.timeout(LOOK_SECONDS):
+            async with asyncio.timeout(POLL_SECONDS):
                 await self.changed.wait()
         except TimeoutError:
-            # Roles and contact change without a word.
+            # Changes of roles and contact are not signalled.
             return
 
     async def _write(self) -> None:
-        """Write what this host knows over what the object holds now.
+        """Merge this host's evidence into the object.
 
-        It is read right before: after a restore of the store the revision that
-        this host knows may have been issued again, for what others wrote.
+        The object is read immediately before: after a restore of the store the
+        known revision number may have been issued again, for a write of another
+        host, which a conditional write would overwrite.
         """
-        await self._list_anew()
+        await self._reload()
         if not self.is_due:
             return
         shared = self._suspects.shared
@@ -126,25 +129,25 @@
             case Ok(stored):
                 self._contact.note_success()
                 log_event('suspects-stored', count=len(shared))
-                await self._take_written(stored)
+                await self._adopt_written(stored)
             case Err(VersionConflict()):
-                # Another has written; its word comes by the watch, or by a
-                # listing if the watch is behind.
+                # Another sentinel has written. Its evidence arrives by the
+                # watch, or by this listing if the watch is behind.
                 self._contact.note_success()
-                await self._list_anew()
+                await self._reload()
             case Err(error):
                 reason = getattr(error, 'message', type(error).__name__)
                 self._contact.note_failure(f'suspects: {reason}')
 
-    async def _take_written(self, stored: StoredObject | None) -> None:
-        """Take in the object as written, or read it if it was not answered."""
+    async def _adopt_written(self, stored: StoredObject | None) -> None:
+        """Use the written object, or read it if the answer lacks it."""
         if stored is None:
             # The next write needs its revision.
-            await self._list_anew()
+            await self._reload()
         else:
-            self._take_in(stored)
+            self._adopt(stored)
 
-    async def _list_anew(self) -> None:
+    async def _reload(self) -> None:
         listed = await self._store.list_kind(SUSPECTS_KIND)
         match listed:
             case Ok(listing):
@@ -158,7 +161,7 @@
             self._stored = {}
             self._revision = NO_REVISION
         for stored in listing.objects:
-            self._take_in(stored)
+            self._adopt(stored)
 
     def _change(self, changes: Changes) -> None:
         for change in changes.changes:
@@ -166,24 +169,24 @@
                 self._stored = {}
                 self._revision = NO_REVISION
             else:
-                self._take_in(change.stored)
+                self._adopt(change.stored)
 
-    def _take_in(self, stored: StoredObject) -> None:
+    def _adopt(self, stored: StoredObject) -> None:
         revision = stored.revision
         if stored.metadata.name != SUSPECTS_NAME or revision < self._revision:
             return
         self._revision = revision
-        told = decode_suspects(stored)
-        if told is None:
-            # Written anew, with what this host knows, when that changes.
+        decoded = decode_suspects(stored)
+        if decoded is None:
+            # The next change of this host's evidence overwrites the object.
             log_event('suspects-unreadable', revision=revision)
             return
-        self._stored = told
-        self._suspects.add_evidence(told)
+        self._stored = decoded
+        self._suspects.add_evidence(decoded)
 
 
 def _covers(stored: Evidence | None, known: Evidence) -> bool:
-    """Return whether the object has what a host knows of a request."""
+    """Return whether the object has all of a host's evidence of a request."""
     if stored is None:
         return False
     return (
@@ -193,5 +196,5 @@
     )
 
 
-def _pass_revision(_revision: Revision) -> None:
-    """Leave the store's revision to the other followers."""
+def _ignore_revision(_revision: Revision) -> None:
+    """Do nothing; the other watchers handle the store's revision."""
--- a/src/wardstair/state/suspects.py
+++ b/src/wardstair/state/suspects.py
@@ -1,7 +1,7 @@
-"""Requests that ended upstreams, as all hosts together have seen them.
+"""Requests during which upstream processes exited, merged from all hosts.
 
-Hosts exchange the whole table when their digests differ. It is small: a request
-enters it only when an upstream ends under it.
+Hosts exchange the whole table when their digests differ. The table is small,
+because a request is added only if an upstream exits while processing it.
 """
 
 import time
@@ -20,33 +20,36 @@
 from wardstair.process.log import log_event, log_warning
 from wardstair.state.roles import ignore
 
-# What a request that comes again after minutes may cost: three upstreams in
-# each such time. Who is held wrongly is held for no longer, unless lifted.
+# A request that is repeated over minutes may end three upstreams per such
+# period. A request that is held wrongly is released after it at the latest.
 HELD_SECONDS = 900
-# A request with fewer lives than it takes: callers come again within seconds.
+# Retention for requests below the threshold for holding. Callers usually repeat
+# a failed request within seconds.
 SUSPECT_SECONDS = 300
-# About 1 KB each, with four lives that no other has (tracemalloc): 0.5 MB. A
-# caller that draws ever new requests pushes out those with the fewest lives
-# first.
+# A record with four incarnations of its own takes about 1 KB, the table 0.5 MB.
+# If a caller sends ever new requests, records with the fewest incarnations are
+# dropped first.
 MAX_RECORDS = 512
-# What is left when there is no more room; sorting them takes 2 ms.
+# Records that remain when the full table is reduced. Dropping several at once
+# limits how often the table is sorted, which takes 2 ms.
 KEPT_RECORDS = MAX_RECORDS * 7 // 8
-# Lives that are kept of one request; the rest proves nothing more.
+# Incarnations recorded per request; more would not change the decision.
 MAX_INCARNATIONS = 32
-# Digests travel in heartbeats and in a query.
+# Digests are sent in heartbeats and in query strings.
 _DIGEST_MASK = 2**48 - 1
 
 
 @dataclass(frozen=True, slots=True)
 class SuspectRow:
-    """What operators are shown of one request.
+    """One request as shown to operators.
 
     Attributes:
-        content: The request's digest.
+        content: Digest of the request.
         held: Whether it is refused.
-        lives: Lives of upstreams that count against it, with commas between.
-        answered: How many lives answered it.
-        seconds_left: How long it stays known.
+        lives: Incarnations of upstreams that count against it, separated by
+            commas.
+        answered: Number of incarnations that answered it.
+        seconds_left: Seconds until its record expires.
     """
 
     content: str
@@ -61,78 +64,87 @@
     """Evidence by request.
 
     Attributes:
-        today: Time of day in Unix seconds: evidence outlives processes.
-        records: Evidence by the request's digest.
-        held: Requests that are refused.
-        digest: The same at hosts that know the same; 0 for nothing.
-        on_change: Called when there is something new.
-        on_ended: Told each life of an upstream that is found to have ended.
+        clock: Returns Unix time in seconds, because evidence outlives
+            processes.
+        records: Evidence by digest of the request.
+        held: Digests of the requests that are refused.
+        digest: Digest of the table; 0 for an empty table.
+        on_change: Called when the table has changed.
+        on_ended: Called with each incarnation of an upstream that is found to
+            have ended.
     """
 
-    today: Callable[[], float] = time.time
+    clock: Callable[[], float] = time.time
     records: dict[str, Evidence] = field(default_factory=dict)
     held: frozenset[str] = frozenset()
     digest: int = 0
     on_change: Callable[[], None] = ignore
-    on_ended: Callable[[str], None] = lambda _life: None
+    on_ended: Callable[[str], None] = lambda _incarnation: None
 
     def count(self, request: str) -> int:
-        """Return how many lives count against a request."""
+        """Return how many incarnations count against a request."""
         known = self.records.get(request)
         return 0 if known is None else len(known.counted)
 
     def seconds_left(self, request: str) -> float:
-        """Return how long a request stays held or suspected, in seconds."""
+        """Return the seconds for which a request stays held or suspect."""
         one = self.records[request]
-        return max(1.0, one.last_at + _kept_seconds(one) - self.today())
+        return max(1.0, one.last_at + _kept_seconds(one) - self.clock())
 
-    def note_ended(self, requests: Iterable[str], life: str) -> None:
-        """Note that an upstream ended while it had these requests."""
-        seen = Evidence({life: int(self.today())})
+    def note_ended(self, requests: Iterable[str], incarnation: str) -> None:
+        """Record that an upstream exited while processing these requests."""
+        seen = Evidence({incarnation: int(self.clock())})
         self.add_evidence(dict.fromkeys(requests, seen))
 
-    def note_answered(self, request: str, life: str) -> None:
-        """Note that an upstream answered a request that is suspected."""
+    def note_answered(self, request: str, incarnation: str) -> None:
+        """Record that an upstream answered a suspect request."""
         known = self.records.get(request)
-        if known is not None and life not in known.answered:
-            answered = Evidence(answered=frozenset((life,)))
+        if known is not None and incarnation not in known.answered:
+            answered = Evidence(answered=frozenset((incarnation,)))
             self.add_evidence({request: answered})
 
     def lift(self, request: str) -> bool:
-        """Set aside what is known of a request; return whether any is."""
+        """Discard the evidence against a request.
+
+        Returns:
+            Whether there was any.
+        """
         if request not in self.records:
             return False
-        self.add_evidence({request: Evidence(lifted_at=int(self.today()))})
+        self.add_evidence({request: Evidence(lifted_at=int(self.clock()))})
         return True
 
-    def add_evidence(self, told: Mapping[str, Evidence]) -> bool:
-        """Take in evidence, of this host or others; return whether it is news.
+    def add_evidence(self, added: Mapping[str, Evidence]) -> bool:
+        """Merge evidence of this host or of others.
 
         Args:
-            told: Evidence by request.
+            added: Evidence by request.
+
+        Returns:
+            Whether the table has changed.
         """
-        now = self.today()
+        now = self.clock()
         before = self.digest
-        for request, evidence in told.items():
+        for request, evidence in added.items():
             known = self.records.get(request, Evidence())
-            news = _not_ahead(_bounded(known, evidence), now)
-            is_old = now - news.last_at >= _kept_seconds(news)
+            bounded = _without_future_times(_bounded(known, evidence), now)
+            is_old = now - bounded.last_at >= _kept_seconds(bounded)
             if is_old and request not in self.records:
                 continue
-            self._put(request, merge(known, news))
-            for life in news.ended.keys() - known.ended.keys():
-                self.on_ended(life)
+            self._put(request, merge(known, bounded))
+            for incarnation in bounded.ended.keys() - known.ended.keys():
+                self.on_ended(incarnation)
         if len(self.records) > MAX_RECORDS:
             self.expire()
-        self._settle()
+        self._update_held()
         if self.digest == before:
             return False
         self.on_change()
         return True
 
     def expire(self) -> None:
-        """Drop what is too old, and what there is no room for."""
-        now = self.today()
+        """Drop expired records, and excess records if the table is full."""
+        now = self.clock()
         old = [
             request
             for request, one in self.records.items()
@@ -141,15 +153,15 @@
         for request in old:
             self._put(request, None)
         if len(self.records) > MAX_RECORDS:
-            ranked = sorted(self.records.items(), key=_worth)
+            ranked = sorted(self.records.items(), key=_retention_key)
             for request, _ in ranked[: len(ranked) - KEPT_RECORDS]:
                 self._put(request, None)
-        self._settle()
+        self._update_held()
 
     def _put(self, request: str, evidence: Evidence | None) -> None:
-        """Set, or with None drop, one record and keep the digest in step.
+        """Set a record, or drop it with None, and update the digest.
 
-        Working all of it out anew took 5.7 ms with a full table, for each
+        Computing the digest of a full table takes 5.7 ms, too much for each
         broken exchange.
         """
         known = self.records.pop(request, None)
@@ -159,8 +171,8 @@
             self.records[request] = evidence
             self.digest ^= _digest_of(request, evidence)
 
-    def _settle(self) -> None:
-        """Work out who is held."""
+    def _update_held(self) -> None:
+        """Determine which requests are held and log changes."""
         before = self.held
         self.held = held_requests(self.records)
         for request in self.held - before:
@@ -174,7 +186,7 @@
             log_event('request-released', content=request)
 
     def listing(self) -> list[SuspectRow]:
-        """Return what is known, for operators: those with most lives first."""
+        """Return the records for operators, most incarnations first."""
         ranked = sorted(
             self.records.items(),
             key=lambda item: (-len(item[1].counted), item[0]),
@@ -192,10 +204,10 @@
 
     @property
     def shared(self) -> dict[str, Evidence]:
-        """What has to outlast the hosts: requests with more than one life.
+        """Records to be kept in the store: suspect and lifted requests.
 
-        Each end of an upstream makes some with one, nearly all of them
-        innocent; each of them written would be a call on the store.
+        Each exit of an upstream adds records with a single incarnation, nearly
+        all of them harmless. Storing them would cost one call each.
         """
         return {
             request: one
@@ -209,29 +221,33 @@
     return HELD_SECONDS if is_full else SUSPECT_SECONDS
 
 
-def _bounded(known: Evidence, told: Evidence) -> Evidence:
-    """Return what is told, without more lives than are kept."""
+def _bounded(known: Evidence, added: Evidence) -> Evidence:
+    """Return added evidence without excess incarnations."""
     if len(known.ended) >= MAX_INCARNATIONS:
-        told = replace(told, ended={})
+        added = replace(added, ended={})
     if len(known.answered) >= MAX_INCARNATIONS:
-        told = replace(told, answered=frozenset())
-    return told
+        added = replace(added, answered=frozenset())
+    return added
 
 
-def _not_ahead(evidence: Evidence, now: float) -> Evidence:
-    """Return evidence of a host whose clock is ahead as of now.
+def _without_future_times(evidence: Evidence, now: float) -> Evidence:
+    """Return evidence with future times replaced by the current time.
 
-    Its record would otherwise be held for as long as that clock is wrong.
+    Evidence of a host whose clock is ahead would otherwise be kept for as long
+    as that clock is wrong.
     """
     if evidence.last_at <= now:
         return evidence
-    today = int(now)
-    ended = {life: min(at, today) for life, at in evidence.ended.items()}
-    lifted = min(evidence.lifted_at, today)
+    latest = int(now)
+    ended = {
+        incarnation: min(at, latest)
+        for incarnation, at in evidence.ended.items()
+    }
+    lifted = min(evidence.lifted_at, latest)
     return replace(evidence, ended=ended, lifted_at=lifted)
 
 
-def _worth(item: tuple[str, Evidence]) -> tuple[int, int, str]:
+def _retention_key(item: tuple[str, Evidence]) -> tuple[int, int, str]:
     request, evidence = item
     return len(evidence.counted), evidence.last_at, request
 
--- a/src/wardstair/state/sync.py
+++ b/src/wardstair/state/sync.py
@@ -1,4 +1,4 @@
-"""Keeps this host's belief up to date from the platform's store."""
+"""Keeps the local state up to date from the platform's store."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -35,12 +35,13 @@
     WatchSinks,
 )
 
-# How long another watch may take to bring a change that the revision tells of.
+# Time for a watch to deliver a change after another answer has shown a higher
+# revision of the store.
 LAG_SECONDS = 0.15
 
 
 class StoreSync:
-    """Follows the three kinds that steer, and proves contact."""
+    """Watches the three steering kinds and checks contact with the store."""
 
     def __init__(
         self,
@@ -50,21 +51,21 @@
         roles: Roles,
         timing: Callable[[], Timing],
     ) -> None:
-        """Prepare without a call.
+        """Initialize without calling the store.
 
         Args:
             store: The store.
             contact: Contact with it.
-            local_state: Where news goes.
-            roles: What this host does for others.
-            timing: How often it looks, by the bounds in force.
+            local_state: The state to update.
+            roles: The roles of this host.
+            timing: Returns the intervals for the bounds in force.
         """
         self._store = store
         self._contact = contact
         self._local_state = local_state
-        local_state.catalog.rules_out_expiry = self._knows_lapses
+        local_state.catalog.rules_out_expiry = self._rules_out_expiry
         self.on_update: Callable[[], None] = ignore
-        # Entries of the store that name no upstream, and why.
+        # Entries of the store that cannot be decoded, with the reason.
         self.unusable: dict[str, UnusableEntry] = {}
         self._evacuated: set[str] = set()
         self._roles = roles
@@ -89,7 +90,7 @@
                 EVACUATION_KIND,
                 is_wanted=roles.is_relay,
                 wait=self._evacuation_wait,
-                slack=self._evacuation_slack,
+                tolerance=self._evacuation_tolerance,
             ),
             WatchSinks(
                 self._list_evacuations,
@@ -105,7 +106,7 @@
                 UPSTREAM_KIND,
                 pause=lambda: timing().pause,
                 is_wanted=self._wants_upstreams,
-                look=lambda: timing().role_look,
+                poll_interval=lambda: timing().role_look,
                 resumes=True,
             ),
             WatchSinks(
@@ -118,19 +119,20 @@
 
     @property
     def watchers(self) -> tuple[KindWatcher, ...]:
-        """Those of the three kinds that steer."""
+        """The watchers of the three steering kinds."""
         return self.configuration, self.evacuations, self.upstreams
 
     def close(self) -> None:
-        """End what is asked."""
+        """Cancel a check that is in progress."""
         if self._checking is not None:
             self._checking.cancel()
 
     def update_role(self) -> bool:
-        """Begin the clock of a sentinel if this host has just become one.
+        """Start short watches if this host has just become a sentinel.
 
-        The clock is a short watch of the evacuations (`_evacuation_wait`). The
-        watch that is waiting may do so for long, and is not missed when late.
+        A sentinel watches the evacuations with a short wait
+        (`_evacuation_wait`). The watch in progress may wait much longer, and
+        its lateness is not checked, so it is renewed.
 
         Returns:
             Whether this host has become a sentinel since the last call.
@@ -143,22 +145,23 @@
         return has_become
 
     async def check(self) -> None:
-        """Ask the store for all that this host may not know."""
+        """Query the store for all changes that this host may lack."""
         self._skip_to_known()
-        await asyncio.gather(*(one.check() for one in self.watchers))
+        await asyncio.gather(*(watcher.check() for watcher in self.watchers))
 
     async def probe_contact(self) -> None:
-        """Prove contact by cheap reads until cancelled.
+        """Check contact by cheap reads until cancelled.
 
-        A waiting watch does not tell a store that has nothing to say from one
-        that is cut off. The same read tells of a version that a watch missed.
+        A waiting watch cannot distinguish a store without changes from an
+        unreachable one. The read also detects a configuration version that a
+        watch missed.
         """
         while True:
             is_relay = self._roles.is_relay()
             timing = self._timing()
             await asyncio.sleep(timing.proof if is_relay else timing.rare_proof)
             if self._contact.is_lost and is_relay:
-                # Its watches ask whether the store is back.
+                # The watches of a relay already retry the store.
                 continue
             read = await self._store.read_stale(
                 CONFIGURATION_KIND,
@@ -166,7 +169,7 @@
             )
             if isinstance(read, Err):
                 reason = getattr(read.err_value, 'message', 'configuration')
-                self._contact.note_failure(f'proof of contact: {reason}')
+                self._contact.note_failure(f'contact check: {reason}')
                 continue
             self._contact.note_success()
             self._offer(read.ok_value, 'stale-read')
@@ -174,8 +177,9 @@
     def _evacuation_wait(self) -> float:
         """Return how long a watch of the evacuations waits, in seconds.
 
-        A sentinel's answers carry the store's revision, which tells of changes
-        that another watch has missed: a watch may be cut without a word.
+        Each answer carries the store's revision, which shows changes that
+        another watch has missed because its connection broke silently. A
+        sentinel therefore uses short watches.
         """
         if self._roles.is_first_sentinel():
             return self._timing().watch
@@ -183,12 +187,16 @@
             return self._timing().second_watch
         return WATCH_SECONDS
 
-    def _evacuation_slack(self) -> float | None:
-        """Return how late the answer to that watch may be, in seconds."""
+    def _evacuation_tolerance(self) -> float | None:
+        """Return how late the answer to that watch may be, in seconds.
+
+        Returns:
+            The tolerance; None if this host is not a sentinel.
+        """
         if not self._roles.is_sentinel():
             return None
-        least = self._timing().slack
-        return self._store.slack.after(least, WATCH_SLACK_SECONDS)
+        min_tolerance = self._timing().slack
+        return self._store.slack.after(min_tolerance, WATCH_SLACK_SECONDS)
 
     def _wants_upstreams(self) -> bool:
         if not self._roles.is_sentinel():
@@ -197,12 +205,12 @@
         return True
 
     def _skip_to_known(self) -> None:
-        """Go on from what others have told beyond this host's own watch."""
+        """Continue from the revision of the upstreams received from peers."""
         if self._local_state.catalog.revision != NO_REVISION:
             self.upstreams.skip_to(self._local_state.catalog.revision)
 
     def _note_revision(self, revision: Revision) -> None:
-        """Ask for what watches have not brought and the revision tells of."""
+        """Check the kinds whose watches are behind the store's revision."""
         behind = self._behind(revision)
         if not behind or not self._roles.is_sentinel():
             return
@@ -211,7 +219,9 @@
 
     def _behind(self, revision: Revision) -> list[KindWatcher]:
         self._skip_to_known()
-        return [one for one in self.watchers if one.may_lack(revision)]
+        return [
+            watcher for watcher in self.watchers if watcher.may_lack(revision)
+        ]
 
     async def _check(self, revision: Revision) -> None:
         await asyncio.sleep(LAG_SECONDS)
@@ -233,7 +243,7 @@
 
     def _list_evacuations(self, listing: Listing) -> None:
         self._evacuated = {stored.metadata.name for stored in listing.objects}
-        self._tell_evacuated(listing.revision, 'listing')
+        self._update_evacuated(listing.revision, 'listing')
 
     def _change_evacuations(self, changes: Changes) -> None:
         for change in changes.changes:
@@ -242,9 +252,9 @@
                 self._evacuated.discard(zone)
             else:
                 self._evacuated.add(zone)
-        self._tell_evacuated(changes.revision, 'watch')
+        self._update_evacuated(changes.revision, 'watch')
 
-    def _tell_evacuated(self, revision: Revision, source: str) -> None:
+    def _update_evacuated(self, revision: Revision, source: str) -> None:
         if self._local_state.set_evacuated(self._evacuated, revision, source):
             self.on_update()
 
@@ -270,9 +280,10 @@
             self.on_update()
 
     def _is_late(self, listed: Revision) -> bool:
-        """Return whether other hosts have told of what came after a listing.
+        """Return whether peers have sent changes later than a listing.
 
-        A store that tells no era may have been restored: its listing counts.
+        A store that reports no era may have been restored, so its listing is
+        always used.
         """
         known = self._local_state.catalog.revision
         return listed < known and known.era != NO_REVISION.era
@@ -280,16 +291,17 @@
     def _change_upstreams(self, changes: Changes) -> None:
         catalog = self._local_state.catalog
         if not changes.changes:
-            # A higher revision alone would make the others fetch.
+            # Adopting a higher revision alone would make peers fetch state.
             return
         if changes.revision == catalog.revision:
-            # Another sentinel has told of it already.
+            # Another sentinel has already sent this change.
             self._end_missing(changes)
             return
         if changes.revision < catalog.revision:
             self._ignore_upstreams(changes.revision, 'watch')
             return
-        # One object may change several times in one answer: the last counts.
+        # If an object changes several times in one answer, the last change
+        # counts.
         last = {
             change.stored.metadata.name: change for change in changes.changes
         }
@@ -298,11 +310,11 @@
         for name in deleted:
             self.unusable.pop(name, None)
         entries = self._decode_all(kept)
-        # One that has become unusable names its upstream no more.
-        spoilt = [name for name in last if name in self.unusable]
+        # An entry that has become unusable no longer lists its upstream.
+        unusable = [name for name in last if name in self.unusable]
         catalog.apply(
             entries,
-            [*deleted, *spoilt],
+            [*deleted, *unusable],
             changes.revision,
             store_was_away=self._contact.was_lost_recently,
         )
@@ -315,7 +327,11 @@
         self.on_update()
 
     def _end_missing(self, changes: Changes) -> None:
-        """Drop what a host that was away took for lapsed, and was removed."""
+        """Remove missing upstreams that the store reports as deleted.
+
+        A host that had lost contact assumed that their entries had expired and
+        kept the upstreams.
+        """
         if self._contact.was_lost_recently:
             return
         catalog = self._local_state.catalog
@@ -331,15 +347,15 @@
         if removed:
             catalog.end_missing(removed)
 
-    def _knows_lapses(self) -> bool:
-        """Return whether own contact shows that nothing can have lapsed."""
-        span = self._contact.contact_period
-        if span is None:
+    def _rules_out_expiry(self) -> bool:
+        """Return whether contact shows that no entry can have expired."""
+        period = self._contact.contact_period
+        if period is None:
             return False
         times = LapseTimes(
             self._contact.tolerated_outage_seconds(), RETURN_SECONDS
         )
-        return are_entries_back([span], times, self._local_state.clock())
+        return are_entries_back([period], times, self._local_state.clock())
 
     def _ignore_upstreams(self, revision: Revision, source: str) -> None:
         log_event(
@@ -353,7 +369,7 @@
     def _decode_all(
         self, objects: Iterable[StoredObject]
     ) -> list[UpstreamEntry]:
-        """Return the entries that name an upstream; tell of the others."""
+        """Return the usable entries and log the others."""
         entries = []
         for stored in objects:
             name = stored.metadata.name
@@ -362,10 +378,10 @@
                     self.unusable.pop(name, None)
                     entries.append(entry)
                 case UnusableEntry() as fault:
-                    self._tell_unusable(name, fault)
+                    self._log_unusable(name, fault)
         return entries
 
-    def _tell_unusable(self, name: str, fault: UnusableEntry) -> None:
+    def _log_unusable(self, name: str, fault: UnusableEntry) -> None:
         if self.unusable.get(name) == fault:
             return
         self.unusable[name] = fault
--- a/src/wardstair/state/upstream.py
+++ b/src/wardstair/state/upstream.py
@@ -1,6 +1,6 @@
-"""One upstream as a host sees it: what it registered and how it behaves.
+"""An upstream as seen by this host: its entry and its observed behaviour.
 
-Load, latency and failures come from this host's own requests.
+Load, latency and failures are observed in this host's own requests.
 """
 
 import math
@@ -12,36 +12,39 @@
 from wardstair.process.log import log_event
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
 
-# A load report tells little about the present after this long.
+# Age at which a load report no longer counts.
 REPORT_SECONDS = 1.5
+# Weight of the last answer in the average of the slowness.
 LATENCY_SHARE = 0.15
-# How far back told loads count towards how crowded an upstream is.
-CROWDING_SECONDS = 2.0
-# After this long without an answer, half of what made it look slow is gone.
-SLOWNESS_HALF_SECONDS = 2.0
-LEAST_SLOWNESS = 0.8
-# Averaged time beside the usual from which an upstream is left out.
+# Time constant of the average of the reported utilization.
+UTILIZATION_SECONDS = 2.0
+# Half-life of the slowness of an upstream without answers.
+SLOWNESS_HALF_LIFE_SECONDS = 2.0
+MIN_SLOWNESS = 0.8
+# Average ratio of observed to expected time from which an upstream is ejected.
 EJECT_SLOWNESS = 2.5
 EJECT_SECONDS = 2.0
-MOST_EJECT_FACTOR = 4
-# One that was not slow for this long starts anew.
-FORGIVEN_SECONDS = 6.0
-# How fast the share of failed requests follows the last ones, and the share
-# from which an upstream is left out: two failures among the last few. Sound
-# upstreams were seen to fail one request in 250.
+MAX_EJECT_FACTOR = 4
+# Time without ejection after which the ejection time starts again at its
+# minimum.
+EJECTION_RESET_SECONDS = 6.0
+# Weight of the last request in the average share of failed requests, and the
+# share from which an upstream is ejected: two failures among the last few
+# requests. Healthy upstreams fail about one request in 250.
 ERROR_WEIGHT = 0.2
 EJECT_ERROR_SHARE = 0.3
-# What is left of the share when it is tried again: one more failure is enough.
+# Share after an ejection: one more failure ejects the upstream again.
 KEPT_ERROR_SHARE = 0.15
-# How long an upstream that may have started again is taken for cold: the
-# longest distrust, after which it is next tried, and time for its entry.
+# How long an upstream that may have restarted is assumed to be cold: the
+# longest time for which it is avoided before the next attempt, plus the time
+# until its new entry is read.
 ASSUMED_COLD_SECONDS = 6.0
-_FIRST_DISTRUST_SECONDS = 0.5
-_LONGEST_DISTRUST_SECONDS = 4.0
+_MIN_AVOIDED_SECONDS = 0.5
+_MAX_AVOIDED_SECONDS = 4.0
 
 
 class EjectReason(StrEnum):
-    """Why an upstream is left out."""
+    """Why an upstream is ejected."""
 
     slow = 'slow'
     failing = 'failing'
@@ -52,9 +55,9 @@
     """A request of this host that an upstream has not answered yet.
 
     Attributes:
-        started_at: Monotonic time when it was sent.
-        expected: Expected seconds of its answer.
-        longest: The same if the upstream does not remember its key after all.
+        started_at: Monotonic time in seconds at which it was sent.
+        expected: Expected seconds until its answer.
+        longest: The same if its key turns out not to be warm.
     """
 
     started_at: float
@@ -64,33 +67,33 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """One life of an upstream as this host sees it.
+    """One incarnation of an upstream as seen by this host.
 
     Attributes:
-        entry: What it registered.
+        entry: Its entry in the store.
         cold_until: Monotonic time until which it is cold.
-        refused_until: Monotonic time until which this host alone takes it for
-            cold, since it refused a connection.
-        gone_at: When its entry was deleted, or None.
-        reported_load: Load it told last: running and waiting.
-        own_when_reported: This host's requests at it when it told that.
-        reported_at: When it told that.
-        utilization: Told load for each slot, averaged over the last seconds.
+        refused_until: Monotonic time until which this host alone treats it as
+            cold, because it refused a connection.
+        gone_at: Monotonic time at which its entry was deleted, or None.
+        reported_load: Running and waiting requests in its last load report.
+        own_when_reported: This host's requests in flight at that report.
+        reported_at: Monotonic time of that report.
+        utilization: Reported load per slot, averaged over the last seconds.
         rebalance_factor: Factor on its weight in the key ranking; below 1 after
             its utilization was higher than that of others.
         weight_factor: Factor on that weight; above 1 where few hosts may send
             to it, so that each of them gets enough requests.
-        slowness: Its time beside what was expected, averaged.
-        avoided_until: Monotonic time until which it is avoided.
-        failures: Failures in a row.
-        error_share: Share of failures among its answers lately.
-        slowness_at: When that was last measured.
-        ejected_until: Monotonic time until which it is left out as slow.
-        ejections: How often that happened in a row.
-        running: This host's requests at it, in the order they were sent.
-        warm: Keys that it has answered lately.
-        has_ended: Whether another upstream answered at its address; its
-            entry may stay for a while and does not bring it back.
+        slowness: Average ratio of observed to expected time.
+        avoided_until: Monotonic time until which it is avoided after a failure.
+        failures: Number of consecutive failures.
+        error_share: Average share of failures among the last requests.
+        slowness_at: Monotonic time of the last measurement of the slowness.
+        ejected_until: Monotonic time until which it is ejected.
+        ejections: Number of consecutive ejections.
+        running: This host's requests in flight, in the order they were sent.
+        warm: Keys of its recent answers.
+        has_ended: Whether it is known to have exited. Its entry may remain for
+            a while and does not make it available again.
     """
 
     entry: UpstreamEntry
@@ -116,42 +119,42 @@
 
     @property
     def name(self) -> str:
-        """Its name, which it may keep when it starts again."""
+        """Its name, which it may keep when it restarts."""
         return self.entry.name
 
     @property
     def incarnation(self) -> str:
-        """Names this life of it among all hosts."""
+        """Identifier of this incarnation among all hosts."""
         return f'{self.entry.name}@{self.entry.born}'
 
     @property
     def in_flight(self) -> int:
-        """Requests of this host at it now."""
+        """Number of requests of this host in flight."""
         return len(self.running)
 
     @property
     def takes_work(self) -> bool:
-        """Whether it is registered and not leaving."""
+        """Whether it is registered and not draining."""
         is_ready = self.entry.phase is UpstreamPhase.ready
         return is_ready and self.gone_at is None
 
     @property
     def cold_end(self) -> float:
-        """Monotonic time until which this host takes it for cold."""
+        """Monotonic time until which this host treats it as cold."""
         return max(self.cold_until, self.refused_until)
 
     def is_cold(self, now: float) -> bool:
-        """Return whether it bears only a bounded rate now."""
+        """Return whether it can take only a limited rate now."""
         return now < self.cold_end
 
     def is_avoided(self, now: float) -> bool:
-        """Return whether it failed lately or is far slower than others."""
+        """Return whether it failed recently or is ejected or overdue."""
         if now < self.avoided_until or now < self.ejected_until:
             return True
         return self.is_overdue(now)
 
     def state_now(self, now: float) -> str:
-        """Return its state in one word, for people and metrics."""
+        """Return its state as one word, for operators and metrics."""
         if self.gone_at is not None:
             return 'gone'
         if self.entry.phase is UpstreamPhase.draining:
@@ -161,27 +164,28 @@
         return 'avoided' if self.is_avoided(now) else 'ready'
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether its oldest request takes far longer than usual."""
-        return self._waiting_ratio(now) > 0
+        """Return whether its oldest request takes much longer than expected."""
+        return self._overdue_ratio(now) > 0
 
     def assume_cold(self, now: float) -> None:
-        """Take whoever listens there next for cold, until its entry is read.
+        """Treat the next process at its address as cold until it registers.
 
-        An upstream that starts again under its name is cold, and its hosts know
-        no better than to go on: 21 requests in a second came to one that bears
-        8.
+        A restarted upstream is cold, but hosts continue to send at full rate
+        until they read its new entry: 21 requests in one second reached an
+        upstream that can take 8.
         """
         self.cold_until = max(self.cold_until, now + ASSUMED_COLD_SECONDS)
 
     def assume_cold_locally(self, now: float) -> None:
-        """Do the same on the word of a refused connection of this host.
+        """Treat it as cold after it refused a connection of this host.
 
-        Other hosts are not told: it may be the way that is cut.
+        The time is not sent to other hosts, because only the network path of
+        this host may be broken.
         """
         self.refused_until = now + ASSUMED_COLD_SECONDS
 
     def reset_failures(self) -> None:
-        """Forget failures that were those of the way."""
+        """Discard failures that were caused by the network path."""
         self.failures = 0
         self.avoided_until = 0.0
         self.refused_until = 0.0
@@ -191,7 +195,7 @@
         self.slowness = 1.0
 
     def load(self, now: float) -> float:
-        """Return the requests that are probably at it now, of all hosts."""
+        """Return the estimated number of requests in flight of all hosts."""
         age = now - self.reported_at
         if age >= REPORT_SECONDS:
             return float(self.in_flight)
@@ -200,44 +204,49 @@
         return others + self.in_flight
 
     def note_load(self, running_and_waiting: int, now: float) -> None:
-        """Take in a load report; this host's answered request is over."""
-        share = 1 - math.exp((self.reported_at - now) / CROWDING_SECONDS)
-        told = running_and_waiting / self.entry.slots
-        self.utilization += share * (told - self.utilization)
+        """Record a load report, with the answered request already removed.
+
+        Args:
+            running_and_waiting: Reported number of requests.
+            now: Monotonic time in seconds.
+        """
+        weight = 1 - math.exp((self.reported_at - now) / UTILIZATION_SECONDS)
+        reported = running_and_waiting / self.entry.slots
+        self.utilization += weight * (reported - self.utilization)
         self.reported_load = running_and_waiting
         self.own_when_reported = self.in_flight
         self.reported_at = now
 
     def slowness_now(self, now: float) -> float:
-        """Return its time beside the usual; old figures count for less.
+        """Return the ratio of its time to the expected time, with decay.
 
-        An upstream that looks slow gets little, so its figure would stay for
-        good if it did not fade: after a while it is tried again.
+        A slow upstream receives few requests, so without decay its ratio would
+        never be corrected. With decay it is tried again after a while.
         """
         age = max(0.0, now - self.slowness_at)
-        kept = math.exp2(-age / SLOWNESS_HALF_SECONDS)
-        faded = 1 + (self.slowness - 1) * kept
-        waiting = self._waiting_ratio(now)
-        return max(faded, waiting, LEAST_SLOWNESS)
+        kept = math.exp2(-age / SLOWNESS_HALF_LIFE_SECONDS)
+        decayed = 1 + (self.slowness - 1) * kept
+        overdue = self._overdue_ratio(now)
+        return max(decayed, overdue, MIN_SLOWNESS)
 
     def note_answer(self) -> None:
-        """Take in an answer whose time tells nothing."""
+        """Record an answer whose time is not representative."""
         self.failures = 0
         self.avoided_until = 0.0
         self.error_share *= 1 - ERROR_WEIGHT
 
     def note_error(self, now: float) -> None:
-        """Take in a failure that it answered itself, or a silence."""
+        """Record an error answer or a missing answer."""
         self.error_share += ERROR_WEIGHT * (1 - self.error_share)
         if self.error_share >= EJECT_ERROR_SHARE and now >= self.ejected_until:
             self._eject(now, EjectReason.failing)
             self.error_share = KEPT_ERROR_SHARE
 
     def note_success(self, ratio: float, now: float) -> None:
-        """Take in an answer.
+        """Record an answer.
 
         Args:
-            ratio: Its time beside the time that was expected.
+            ratio: Ratio of its time to the expected time.
             now: Monotonic time in seconds.
         """
         self.note_answer()
@@ -246,23 +255,27 @@
         if self.slowness >= EJECT_SLOWNESS and now >= self.ejected_until:
             self._eject(now, EjectReason.slow)
 
-    def _waiting_ratio(self, now: float) -> float:
-        """Return how overdue its oldest request is, beside what is usual."""
+    def _overdue_ratio(self, now: float) -> float:
+        """Return the waiting time of its oldest request if it is overdue.
+
+        Returns:
+            The ratio to the expected time; 0 if the request is not overdue.
+        """
         if not self.running:
             return 0.0
         oldest = next(iter(self.running.values()))
         waited = now - oldest.started_at
-        # A single long request is nothing; work differs from one to another.
+        # The work of requests varies, so a moderate excess is normal.
         if waited <= overdue_after(oldest.expected, oldest.longest):
             return 0.0
         return waited / oldest.expected
 
     def _eject(self, now: float, reason: EjectReason) -> None:
-        """Leave it out for a while; longer each time it does not recover."""
-        if now - self.ejected_until > FORGIVEN_SECONDS:
+        """Eject it for a while; longer each time it does not recover."""
+        if now - self.ejected_until > EJECTION_RESET_SECONDS:
             self.ejections = 0
         self.ejections += 1
-        seconds = EJECT_SECONDS * min(self.ejections, MOST_EJECT_FACTOR)
+        seconds = EJECT_SECONDS * min(self.ejections, MAX_EJECT_FACTOR)
         log_event(
             'upstream-ejected',
             upstream=self.name,
@@ -273,16 +286,23 @@
             seconds=seconds,
         )
         self.ejected_until = now + seconds
-        # When it is back it is judged by what it does then.
+        # After the ejection only new measurements count.
         self.slowness = 1.0
 
     def note_failure(self, now: float) -> float:
-        """Take in a failure; return for how long it is avoided, seconds."""
+        """Record a failure.
+
+        Args:
+            now: Monotonic time in seconds.
+
+        Returns:
+            The seconds for which it is avoided.
+        """
         self.failures += 1
         self.note_error(now)
         seconds = min(
-            _FIRST_DISTRUST_SECONDS * 2.0 ** (self.failures - 1),
-            _LONGEST_DISTRUST_SECONDS,
+            _MIN_AVOIDED_SECONDS * 2.0 ** (self.failures - 1),
+            _MAX_AVOIDED_SECONDS,
         )
         self.avoided_until = now + seconds
         return seconds
--- a/src/wardstair/state/watching.py
+++ b/src/wardstair/state/watching.py
@@ -1,4 +1,4 @@
-"""Follows one kind of objects of the store: a listing, then watches."""
+"""Keeps one kind of store objects up to date by a listing and watches."""
 
 import asyncio
 from collections import Counter
@@ -17,26 +17,26 @@
 from wardstair.state.revision import NO_REVISION, Revision
 from wardstair.state.roles import always
 
-# A waiting watch is one call; the store allows 30 s.
+# A waiting watch counts as one call; the store allows 30 s.
 WATCH_SECONDS = 25.0
-# A watch that only asks whether the store is back.
-ASKING_SECONDS = 0.02
-# How often a host that need not follow a kind looks whether that has changed,
-# where nothing asks for more.
-UNWANTED_SECONDS = 0.25
-# A watch younger than this is not dropped for being behind: what it should
-# tell may be on its way.
+# Duration of a watch that only checks whether the store answers again.
+PROBE_WATCH_SECONDS = 0.02
+# Default interval at which a host that does not watch a kind checks whether it
+# has to.
+POLL_SECONDS = 0.25
+# A younger watch is not dropped for being behind: its answer may still be in
+# transit.
 MIN_WATCH_AGE_SECONDS = 0.3
 
 
 class RenewalReason(StrEnum):
-    """Why a waiting watch is given up and begun anew.
+    """Why a waiting watch is dropped and started again.
 
     Attributes:
-        behind: Another answer of the store tells of a change that it missed.
+        behind: Another answer of the store shows that it missed a change.
         regained: The store answers again, or was restored.
-        role: This host has begun to watch for others, at a pace of its own.
-        late: No answer has come in time, on this or another watch.
+        role: This host has become a sentinel, whose watches are shorter.
+        late: This watch or another one was not answered in time.
     """
 
     behind = 'behind'
@@ -45,80 +45,80 @@
     role = 'role'
 
 
-def look_seldom() -> float:
-    """Return the pause between two looks at whether a kind is wanted."""
-    return UNWANTED_SECONDS
+def default_poll_interval() -> float:
+    """Return the default interval between role checks, in seconds."""
+    return POLL_SECONDS
 
 
-def watch_long() -> float:
-    """Return the longest wait of a watch, in seconds."""
+def default_wait() -> float:
+    """Return the default wait of a watch, in seconds."""
     return WATCH_SECONDS
 
 
-def never_late() -> float | None:
-    """Return None: a watch is waited for until its own time is over."""
+def no_tolerance() -> float | None:
+    """Return None: a watch is never considered late."""
     return None
 
 
-def _ignore_moment(_revision: Revision, _moment: float) -> None:
-    """Do nothing; the default of the sink."""
+def _ignore_completeness(_revision: Revision, _moment: float) -> None:
+    """Do nothing; the default of `WatchSinks.on_complete`."""
 
 
 def no_pause() -> float:
-    """Return the pause of a kind that is watched without one, in seconds."""
+    """Return the default pause between watches, in seconds."""
     return 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class WatchPlan:
-    """What to follow and how.
+    """What to watch and how.
 
     Attributes:
         kind: The kind of objects.
-        pause: Seconds between a watch's answer and the next watch, so that
-            changes close together cost one call.
-        is_wanted: Whether this host itself should follow the kind now.
-        wait: Longest wait of the next watch, in seconds.
-        slack: Seconds beyond that after which an answer is late and contact is
-            doubted; None if this watch is no measure of it.
-        look: Seconds between two looks at whether it is wanted.
-        resumes: Whether it goes on from a known revision when it is wanted
-            again; otherwise it lists the kind anew.
+        pause: Returns the seconds between the answer of a watch and the next
+            watch, so that changes in quick succession cost one call.
+        is_wanted: Returns whether this host should watch the kind now.
+        wait: Returns the maximum wait of the next watch, in seconds.
+        tolerance: Returns the seconds beyond that wait after which an answer is
+            late and contact is suspect; None if lateness is not checked.
+        poll_interval: Returns the seconds between two checks of `is_wanted`.
+        resumes: Whether watching continues from a known revision when it is
+            wanted again; otherwise the kind is listed again.
     """
 
     kind: str
     pause: Callable[[], float] = no_pause
     is_wanted: Callable[[], bool] = always
-    wait: Callable[[], float] = watch_long
-    slack: Callable[[], float | None] = never_late
-    look: Callable[[], float] = look_seldom
+    wait: Callable[[], float] = default_wait
+    tolerance: Callable[[], float | None] = no_tolerance
+    poll_interval: Callable[[], float] = default_poll_interval
     resumes: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class WatchSinks:
-    """Where what a follower learns goes.
+    """Callbacks that receive the results of a watcher.
 
     Attributes:
-        on_listing: Takes in a whole listing.
-        on_changes: Takes in changes.
-        on_revision: Told the store's revision with each answer.
-        on_complete: Told up to which revision all of the kind is known, and up
-            to which monotonic time in seconds.
+        on_listing: Receives a complete listing.
+        on_changes: Receives changes.
+        on_revision: Receives the store's revision of each answer to a watch.
+        on_complete: Receives the revision up to which the kind is completely
+            known, and the monotonic time in seconds for which this holds.
     """
 
     on_listing: Callable[[Listing], None]
     on_changes: Callable[[Changes], None]
     on_revision: Callable[[Revision], None]
-    on_complete: Callable[[Revision, float], None] = _ignore_moment
+    on_complete: Callable[[Revision, float], None] = _ignore_completeness
 
 
 class KindWatcher:
-    """Keeps one kind up to date; a task of its own runs it.
+    """Keeps one kind of objects up to date; a task of its own runs it.
 
     Attributes:
-        revision: Revision up to which everything of the kind is known.
-        renewals: Waiting watches that were given up, by reason.
+        revision: Revision up to which the kind is completely known.
+        renewals: Number of waiting watches that were dropped, by reason.
     """
 
     def __init__(
@@ -128,13 +128,13 @@
         plan: WatchPlan,
         sinks: WatchSinks,
     ) -> None:
-        """Prepare without a call.
+        """Initialize without calling the store.
 
         Args:
             store: The store.
-            contact: Told of each success and failure.
-            plan: What to follow.
-            sinks: Where news goes.
+            contact: Records each success and failure.
+            plan: What to watch.
+            sinks: Receive listings and changes.
         """
         self.revision = NO_REVISION
         self.renewals = Counter[RenewalReason]()
@@ -145,44 +145,45 @@
         self._needs_listing = True
         self._watching_since: float | None = None
         self._dropped = asyncio.Event()
-        # A late listing would take the place of a newer one.
+        # Serializes listings, so that a late one cannot replace a newer one.
         self._listing = asyncio.Lock()
         self._drop_reason = RenewalReason.behind
-        # When the last watch was asked, and how long it was to wait.
+        # Start of the last watch in monotonic seconds, and its maximum wait.
         self._asked_at = 0.0
-        self._waits = 0.0
+        self._wait_seconds = 0.0
 
     @property
     def kind(self) -> str:
-        """The kind of objects that it follows."""
+        """The kind of objects that it watches."""
         return self._plan.kind
 
     @property
     def has_listed(self) -> bool:
-        """Whether it has read the whole kind and can go on from there.
+        """Whether the kind was listed and can be watched from there.
 
-        A watch across a restore of the store would be answered, as its number
-        is issued again, and lack what was written below that number.
+        After a restore the store issues the same revision numbers again. A
+        watch from a revision before the restore would be answered, but would
+        lack the objects that were written again with lower numbers.
         """
         is_before_restore = self.revision.era < self._contact.era
         return not (self._needs_listing or is_before_restore)
 
     def skip_to(self, revision: Revision) -> None:
-        """Go on from a revision up to which another host knows everything."""
+        """Continue from a revision up to which a peer sent all changes."""
         if revision > self.revision:
             self.revision = revision
             self._needs_listing = False
 
     def may_lack(self, revision: Revision) -> bool:
-        """Return whether a change up to a revision may have been missed.
+        """Return whether changes up to a revision may be missing.
 
         Args:
-            revision: The store's revision by another answer.
+            revision: The store's revision in another answer.
         """
         return self.revision < revision
 
     def drop_watch(self) -> None:
-        """Renew a waiting watch, which has missed a change."""
+        """Renew a waiting watch that has missed a change."""
         since = self._watching_since
         if since is None:
             return
@@ -190,7 +191,7 @@
             self._drop(RenewalReason.behind)
 
     def renew_watch(self) -> None:
-        """Begin a waiting watch anew, by the plan as it is now."""
+        """Restart a waiting watch with the current values of the plan."""
         if self._watching_since is not None:
             self._drop(RenewalReason.role)
 
@@ -199,10 +200,11 @@
         self._dropped.set()
 
     async def check(self) -> None:
-        """Ask whether anything has changed, beside a waiting watch.
+        """Query the store for changes while a watch is waiting.
 
-        A watch that has gone silent looks like one with nothing to tell. The
-        answer to this says up to which moment all of the kind is known.
+        A watch on a broken connection looks like one without changes. The
+        answer to this query shows up to which time the kind is completely
+        known.
         """
         if not self.has_listed:
             await self._list(is_apart=True)
@@ -218,7 +220,7 @@
             self._needs_listing = True
             return
         if changes.revision < self.revision:
-            # Others have told of what came after it.
+            # Peers have already sent later changes.
             return
         if changes.revision > self.revision:
             self.revision = changes.revision
@@ -228,32 +230,32 @@
         self._sinks.on_complete(changes.revision, asked_at)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Watch until cancelled."""
         while True:
             await self._contact.wait_turn()
             if self._plan.is_wanted():
-                await self._look()
+                await self._read()
             else:
                 self._contact.pass_turn()
-                await self._rest()
+                await self._pause_until_poll()
 
-    async def _look(self) -> None:
+    async def _read(self) -> None:
         if self.has_listed:
             await self._watch()
         else:
             await self._list()
 
-    async def _rest(self) -> None:
-        """Wait while others follow the kind for this host."""
+    async def _pause_until_poll(self) -> None:
+        """Wait until the next check whether this host should watch."""
         if not self._plan.resumes:
             self._needs_listing = True
-        await asyncio.sleep(self._plan.look())
+        await asyncio.sleep(self._plan.poll_interval())
 
     async def _list(self, *, is_apart: bool = False) -> None:
-        """List the kind, unless another task of this host has just done so.
+        """List the kind unless another task of this host has just done so.
 
         Args:
-            is_apart: Whether to ask by a connection of its own.
+            is_apart: Whether to use a separate connection.
         """
         async with self._listing:
             if self.has_listed:
@@ -298,7 +300,7 @@
             )
         reading = Reading(
             self._asked_at,
-            self._waits,
+            self._wait_seconds,
             asyncio.get_running_loop().time(),
             is_empty=not changes.changes,
         )
@@ -309,16 +311,16 @@
             await asyncio.sleep(self._plan.pause())
 
     async def _watch_once(self) -> Result[Changes, PlatformError] | None:
-        """Watch once; None if the watch was dropped and is to be renewed."""
-        slack = self._plan.slack()
-        # While contact is lost the answer itself is what matters.
-        is_asking = self._contact.is_lost or (
-            self._contact.is_suspect and slack is not None
+        """Run one watch; return None if it was dropped for renewal."""
+        tolerance = self._plan.tolerance()
+        # Without contact a short watch suffices: only its answer matters.
+        is_probe = self._contact.is_lost or (
+            self._contact.is_suspect and tolerance is not None
         )
-        seconds = ASKING_SECONDS if is_asking else self._plan.wait()
+        seconds = PROBE_WATCH_SECONDS if is_probe else self._plan.wait()
         late_after = None
-        if slack is not None and not is_asking:
-            late_after = seconds + slack
+        if tolerance is not None and not is_probe:
+            late_after = seconds + tolerance
         watching = asyncio.ensure_future(
             self._store.watch_kind(self._plan.kind, self.revision, seconds),
         )
@@ -327,7 +329,7 @@
         began_at = asyncio.get_running_loop().time()
         self._watching_since = began_at
         self._asked_at = began_at
-        self._waits = seconds
+        self._wait_seconds = seconds
         try:
             ended, _ = await asyncio.wait(
                 (watching, dropped, self._contact.next_regain()),
@@ -369,16 +371,16 @@
         error: PlatformError,
         asked_at: float | None = None,
     ) -> None:
-        """Take in a call that has failed.
+        """Record a failed call.
 
         Args:
-            error: How.
-            asked_at: When it was made, in monotonic seconds; None for a watch,
-                whose end tells of the present.
+            error: The failure.
+            asked_at: Start of the call in monotonic seconds; None for a watch,
+                whose end shows the current state of the connection.
         """
         match error:
             case WatchForgotten():
-                # The store answered, whatever it remembers.
+                # The store answered, although it has dropped the history.
                 self._contact.note_success()
                 self._needs_listing = True
                 log_event(
@@ -393,7 +395,7 @@
                 self._contact.note_failure(f'{self._plan.kind}: {reason}')
 
     def _is_refuted(self, asked_at: float | None) -> bool:
-        """Return whether the store has answered since a call that failed."""
+        """Return whether the store has answered since a failed call began."""
         heard_at = self._contact.heard_at
         if asked_at is None or heard_at is None or self._contact.is_lost:
             return False
--- a/tests/soak/breaks.py
+++ b/tests/soak/breaks.py
@@ -99,7 +99,7 @@
 
     def take_in(
         self: suspects.SuspectTable,
-        told: Mapping[str, Evidence],
+        added: Mapping[str, Evidence],
     ) -> bool:
         return False
 
@@ -170,7 +170,7 @@
 
     contact.StoreContact.note_failure = note_failure  # type: ignore[method-assign]
     sync.StoreSync._evacuation_wait = wait  # type: ignore[method-assign]
-    sync.StoreSync._evacuation_slack = slack  # type: ignore[method-assign]
+    sync.StoreSync._evacuation_tolerance = slack  # type: ignore[method-assign]
     age.StateAge.seconds = property(seconds)  # type: ignore[assignment]
 
 
--- a/tests/unit/test_catalog.py
+++ b/tests/unit/test_catalog.py
@@ -1,4 +1,4 @@
-"""What a host believes of upstreams, evacuations and the store."""
+"""Catalog of upstreams, ejection, evacuations and contact with the store."""
 
 import asyncio
 from dataclasses import replace
@@ -36,7 +36,7 @@
     return catalog
 
 
-def test_a_draining_or_deleted_upstream_gets_nothing() -> None:
+def test_draining_and_deleted_upstreams_receive_no_requests() -> None:
     catalog = filled(Clock())
     catalog.apply([DRAINING], [], at(6), store_was_away=False)
     assert names(catalog) == ['i-2']
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize('comes_back', [True, False])
-def test_an_entry_that_vanished_with_the_store_may_come_back(
+def test_an_entry_missing_after_an_outage_is_kept_for_the_return_time(
     comes_back: bool,
 ) -> None:
     clock = Clock()
@@ -60,14 +60,14 @@
     assert names(catalog) == (['i-1', 'i-2'] if comes_back else ['i-2'])
 
 
-def test_a_listing_does_not_bring_back_an_upstream_that_ended() -> None:
+def test_a_listing_does_not_restore_an_upstream_that_has_exited() -> None:
     catalog = filled(Clock())
     catalog.mark_gone('i-1')
     catalog.replace_all([ENTRY, OTHER], at(9), store_was_away=False)
     assert names(catalog) == ['i-2']
 
 
-def test_cold_time_counts_from_when_it_was_read() -> None:
+def test_cold_time_counts_from_the_read_of_the_entry() -> None:
     clock = Clock()
     catalog = filled(clock)
     cold = replace(ENTRY, cold_seconds=3.0)
@@ -76,15 +76,15 @@
     assert one.is_cold(clock.now + 2.9)
     assert not one.is_cold(clock.now + 3.0)
     clock.now += 1
-    (told,) = (
+    (shared,) = (
         entry
         for entry in catalog.changes_since(NO_REVISION).entries
         if entry.name == 'i-1'
     )
-    assert told.cold_seconds == pytest.approx(2.0)
+    assert shared.cold_seconds == pytest.approx(2.0)
 
 
-def test_a_slow_upstream_is_left_out_longer_each_time() -> None:
+def test_each_ejection_of_a_slow_upstream_is_longer() -> None:
     upstream = Upstream(ENTRY)
     now = 100.0
     lengths = []
@@ -96,7 +96,7 @@
     assert lengths == pytest.approx([EJECT_SECONDS * n for n in (1, 2, 3)])
 
 
-def test_one_slow_answer_does_not_take_an_upstream_out() -> None:
+def test_one_slow_answer_does_not_eject_an_upstream() -> None:
     upstream = Upstream(ENTRY)
     upstream.note_success(8.0, 100.0)
     assert not upstream.is_avoided(100.0)
@@ -108,8 +108,8 @@
     st.integers(0, 12),
     st.floats(0, 5),
 )
-def test_the_load_is_never_under_what_this_host_has_there(
-    told: int,
+def test_the_estimated_load_includes_all_requests_of_this_host(
+    reported: int,
     own_then: int,
     own_now: int,
     age: float,
@@ -118,13 +118,13 @@
     upstream.running = dict.fromkeys(
         range(own_then), RunningSend(0.0, 1.0, 1.0)
     )
-    upstream.note_load(told, 100.0)
+    upstream.note_load(reported, 100.0)
     upstream.running = dict.fromkeys(range(own_now), RunningSend(0.0, 1.0, 1.0))
     load = upstream.load(100.0 + age)
-    assert own_now <= load <= own_now + max(0, told - own_then)
+    assert own_now <= load <= own_now + max(0, reported - own_then)
 
 
-def test_a_zone_that_comes_back_from_an_evacuation_is_cold() -> None:
+def test_an_evacuation_ends_only_by_a_later_revision() -> None:
     clock = Clock()
     catalog = filled(clock)
     local_state = LocalState(clock, catalog)
@@ -132,31 +132,31 @@
     assert not local_state.set_evacuated([], at(6), 'host:late')
     assert local_state.evacuated == {'a1'}
     assert local_state.set_evacuated([], at(8), 'watch')
-    # No configuration tells how long services stay cold: not at all, then.
+    # Without a configuration the cold time of a service is zero.
     assert not catalog.of_service('views')[0].is_cold(clock.now)
 
 
-def test_one_task_asks_while_the_store_is_away() -> None:
+def test_only_one_task_retries_while_the_store_is_unreachable() -> None:
     async def main() -> None:
         clock = Clock()
         contact = StoreContact(clock, Random(1))
         contact.note_success()
         contact.note_failure('test')
-        asked: list[int] = []
-        somebody = asyncio.Event()
+        retried: list[int] = []
+        has_retried = asyncio.Event()
 
-        async def follow(number: int) -> None:
+        async def retry(number: int) -> None:
             await contact.wait_turn()
-            asked.append(number)
-            somebody.set()
+            retried.append(number)
+            has_retried.set()
 
-        tasks = [asyncio.ensure_future(follow(n)) for n in range(4)]
-        await somebody.wait()
+        tasks = [asyncio.ensure_future(retry(n)) for n in range(4)]
+        await has_retried.wait()
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(asked) == 1
+        assert len(retried) == 1
         regained = contact.next_regain()
-        # Longer than entries take to lapse, which is nothing here.
+        # Longer than the tolerated outage, which is zero here.
         clock.now += 1
         contact.note_success()
         await asyncio.gather(*tasks)
@@ -169,19 +169,19 @@
 
 
 @pytest.mark.parametrize(
-    ('outcomes', 'is_left_out'),
+    ('outcomes', 'is_ejected'),
     [
-        # Failures among successes: one upstream in two answers is no use, a
-        # failure now and then is nothing.
+        # Failures (x) among successes: every second answer is too many, an
+        # occasional failure is tolerated.
         ('xx', True),
         ('x.x.', True),
         ('x.....x.....x', False),
         ('.....x', False),
     ],
 )
-def test_an_upstream_that_fails_often_is_left_out(
+def test_an_upstream_that_fails_often_is_ejected(
     outcomes: str,
-    is_left_out: bool,
+    is_ejected: bool,
 ) -> None:
     upstream = Upstream(ENTRY)
     for number, outcome in enumerate(outcomes):
@@ -190,20 +190,21 @@
             upstream.note_error(now)
         else:
             upstream.note_success(1.0, now)
-    assert upstream.is_avoided(now + 1) is is_left_out
+    assert upstream.is_avoided(now + 1) is is_ejected
 
 
 @pytest.mark.parametrize(
     ('waited', 'longest', 'is_avoided'),
     [
-        # Certain of the key, and not: a first run takes three times as long.
+        # The key is warm for certain, or not: a cold run takes three times as
+        # long.
         (0.5, 0.2, False),
         (0.7, 0.2, True),
         (0.7, 0.6, False),
         (1.0, 0.6, True),
     ],
 )
-def test_an_upstream_that_is_silent_for_long_is_avoided(
+def test_an_upstream_with_an_overdue_request_is_avoided(
     waited: float,
     longest: float,
     is_avoided: bool,
