--- a/tests/unit/test_catalog_changes.py
+++ b/tests/unit/test_catalog_changes.py
@@ -1,4 +1,4 @@
-"""Changes of upstreams handed on, against handing on the whole list."""
+"""Changes of upstreams sent to a peer, compared with the whole list."""
 
 from dataclasses import replace
 
@@ -19,8 +19,8 @@
 from wardstair.state.revision import NO_REVISION
 
 
-def facts(catalog: Catalog) -> dict[str, UpstreamPhase]:
-    """Return what a catalog holds to be there."""
+def phases(catalog: Catalog) -> dict[str, UpstreamPhase]:
+    """Return the phases of the present upstreams by name."""
     return {
         name: upstream.entry.phase
         for name, upstream in catalog.upstreams.items()
@@ -28,8 +28,8 @@
     }
 
 
-def hand_on(source: Catalog, target: Catalog) -> int:
-    """Hand changes on as they travel; return how many entries did."""
+def send_changes(source: Catalog, target: Catalog) -> int:
+    """Send encoded changes; return the number of entries sent."""
     changes = source.changes_since(target.revision)
     encoded = StateEncoder().encode(SharedState(upstreams=changes))
     decoded = decode_state(encoded)
@@ -42,14 +42,14 @@
 STEPS = st.lists(
     st.tuples(
         st.integers(0, 5),
-        st.sampled_from(['put', 'drain', 'remove', 'lapse', 'tell', 'wait']),
+        st.sampled_from(['put', 'drain', 'remove', 'expire', 'send', 'wait']),
     ),
     max_size=40,
 )
 
 
 @given(STEPS)
-def test_changes_lead_to_what_the_whole_list_says(
+def test_merged_changes_lead_to_the_catalog_of_the_sender(
     steps: list[tuple[int, str]],
 ) -> None:
     clock = Clock()
@@ -60,9 +60,9 @@
         put = []
         deleted = []
         match step:
-            case 'tell':
-                hand_on(source, target)
-                assert facts(target) == facts(source)
+            case 'send':
+                send_changes(source, target)
+                assert phases(target) == phases(source)
                 continue
             case 'wait':
                 clock.now += RETURN_SECONDS / 2
@@ -75,36 +75,36 @@
                 put = [replace(entry, phase=UpstreamPhase.draining)]
             case _:
                 deleted = [entry.name]
-        lapses = step == 'lapse'
-        source.apply(put, deleted, at(revision), store_was_away=lapses)
-    hand_on(source, target)
-    assert facts(target) == facts(source)
+        expires = step == 'expire'
+        source.apply(put, deleted, at(revision), store_was_away=expires)
+    send_changes(source, target)
+    assert phases(target) == phases(source)
     clock.now += RETURN_SECONDS
     source.expire_missing()
     target.expire_missing()
-    assert facts(target) == facts(source)
+    assert phases(target) == phases(source)
 
 
-def test_only_what_has_changed_travels() -> None:
+def test_only_changed_entries_are_sent() -> None:
     source, target = Catalog(Clock()), Catalog(Clock())
     entries = [
         replace(ENTRY, name=f'i-{n}', revision=at(n + 1)) for n in range(300)
     ]
     source.replace_all(entries, at(300), store_was_away=False)
-    assert hand_on(source, target) == 300
+    assert send_changes(source, target) == 300
     changed = replace(
         entries[5], revision=at(301), phase=UpstreamPhase.draining
     )
     source.apply([changed], ['i-7'], at(301), store_was_away=False)
-    assert hand_on(source, target) <= 2
-    assert facts(target) == facts(source)
+    assert send_changes(source, target) <= 2
+    assert phases(target) == phases(source)
 
 
-def test_a_host_that_is_far_behind_gets_the_whole_list() -> None:
+def test_a_host_that_is_far_behind_receives_the_whole_list() -> None:
     source, target = Catalog(Clock()), Catalog(Clock())
     old = replace(ENTRY, name='old', revision=at(1))
     source.replace_all([old], at(1), store_was_away=False)
-    hand_on(source, target)
+    send_changes(source, target)
     for number in range(MAX_REMOVALS + 2):
         name = f'i-{number}'
         revision = 2 + number * 2
@@ -113,11 +113,11 @@
         source.apply([], [name], at(revision + 1), store_was_away=False)
     source.apply([], ['old'], at(5000), store_was_away=False)
     assert source.changes_since(target.revision).since == NO_REVISION
-    hand_on(source, target)
-    assert facts(target) == facts(source) == {}
+    send_changes(source, target)
+    assert phases(target) == phases(source) == {}
 
 
-def test_changes_that_leave_a_gap_are_not_taken() -> None:
+def test_changes_that_leave_a_gap_are_not_merged() -> None:
     source, target = Catalog(Clock()), Catalog(Clock())
     source.replace_all([], at(5), store_was_away=False)
     source.apply(
@@ -127,7 +127,7 @@
     assert target.revision == NO_REVISION
 
 
-def test_a_configuration_travels_deflated() -> None:
+def test_a_configuration_is_sent_compressed() -> None:
     routes = {
         f'r-{n}': {'host': f'h{n}.example', 'path_prefix': f'/p{n}/'}
         for n in range(1400)
@@ -139,8 +139,9 @@
     assert decode_state(encoded) == state
 
 
-def test_a_host_of_an_earlier_era_gets_the_whole_list() -> None:
-    # Its number is higher, and it knows an upstream that the other never saw.
+def test_a_host_of_an_earlier_era_receives_the_whole_list() -> None:
+    # Its revision number is higher, and it has an upstream that the source
+    # never saw.
     source, target = Catalog(Clock()), Catalog(Clock())
     both = replace(ENTRY, name='both', revision=at(3))
     unseen = replace(ENTRY, name='unseen', revision=at(40))
@@ -149,24 +150,25 @@
     again = replace(both, revision=at(3, era=2))
     source.replace_all([again], at(8, era=2), store_was_away=False)
     assert source.changes_since(target.revision).since == NO_REVISION
-    hand_on(source, target)
+    send_changes(source, target)
     target.clock.now += RETURN_SECONDS  # type: ignore[attr-defined]
     target.expire_missing()
-    assert facts(target) == facts(source)
+    assert phases(target) == phases(source)
 
 
-def test_what_was_removed_before_the_restore_is_told_after_it() -> None:
-    # The source was not there when the other heard of the new era first.
+def test_entries_unknown_to_the_source_are_removed_in_a_new_era() -> None:
+    # The target read the new era first; the source joined it later and never
+    # saw the entry.
     source, target = Catalog(Clock()), Catalog(Clock())
     gone = replace(ENTRY, name='gone', revision=at(3, era=2))
     source.replace_all([], at(40), store_was_away=False)
     target.replace_all([gone], at(7, era=2), store_was_away=False)
     source.replace_all([], at(9, era=2), store_was_away=False)
-    hand_on(source, target)
-    assert facts(target) == facts(source)
+    send_changes(source, target)
+    assert phases(target) == phases(source)
 
 
-def test_configurations_of_one_number_in_two_eras_are_told_apart() -> None:
+def test_equal_revision_numbers_of_two_eras_are_distinct() -> None:
     encoder = StateEncoder()
     for era in (1, 2):
         shared = SharedConfiguration(at(7, era), {'version': str(era)})
--- a/tests/unit/test_cold_after_evacuation.py
+++ b/tests/unit/test_cold_after_evacuation.py
@@ -1,9 +1,9 @@
-"""Upstreams come back cold from an evacuation; every host has to know that.
+"""Upstreams are cold after an evacuation, also for a host that just started.
 
-A host that starts meanwhile may get the upstreams from one host, while the
-zone is being emptied, and that this is over from another that is further. It
-never knew of the evacuation, and nobody else tells it that they are cold until
-they do so themselves, a second and more later.
+A starting host may receive the upstreams from one peer during an evacuation and
+the end of the evacuation from a more recent peer. It never knew of the
+evacuation, and the entries that mark the upstreams as cold arrive a second or
+more later. Without a mark from its peers it would send to them at full rate.
 """
 
 import asyncio
@@ -29,8 +29,8 @@
 ZONE = ENTRY.zone
 
 
-def belief_of(clock: Clock) -> LocalState:
-    """Return what a host believes that knows the configuration."""
+def local_state_of(clock: Clock) -> LocalState:
+    """Return the state of a host that has the configuration."""
     local_state = LocalState(clock, Catalog(clock))
     stored = StoredObject(
         metadata=Metadata(name='main', revision=1),
@@ -40,8 +40,8 @@
     return local_state
 
 
-def told_by(local_state: LocalState) -> CatalogChanges:
-    """Return the upstreams as a host tells a newcomer of them."""
+def changes_from(local_state: LocalState) -> CatalogChanges:
+    """Return the upstreams as a host sends them to a new one."""
 
     async def ask() -> bytes:
         contact = StoreContact(local_state.clock, Random(1))
@@ -68,25 +68,25 @@
 @pytest.mark.parametrize(
     ('begins', 'ends', 'is_cold'),
     [
-        # The newcomer hears of neither, the begin, the end, both.
+        # Whether the new host receives the begin and the end of the evacuation.
         (False, False, False),
         (False, True, True),
         (True, True, True),
     ],
 )
-def test_a_newcomer_knows_upstreams_as_cold_after_an_evacuation(
+def test_a_new_host_treats_upstreams_as_cold_after_an_evacuation(
     *,
     begins: bool,
     ends: bool,
     is_cold: bool,
 ) -> None:
     clock = Clock()
-    source, newcomer = belief_of(clock), belief_of(clock)
+    source, newcomer = local_state_of(clock), local_state_of(clock)
     other = replace(ENTRY, name='i-2', zone='b1')
     source.catalog.replace_all([ENTRY, other], at(5), store_was_away=False)
     if begins or ends:
         source.set_evacuated([ZONE], at(6), 'watch')
-    newcomer.catalog.merge_peer_changes(told_by(source))
+    newcomer.catalog.merge_peer_changes(changes_from(source))
     if begins:
         newcomer.set_evacuated([ZONE], at(6), 'host:a')
     clock.now += 1
--- a/tests/unit/test_entry_after_restore.py
+++ b/tests/unit/test_entry_after_restore.py
@@ -1,7 +1,7 @@
-"""An entry that an upstream writes after a restore of the store is taken in.
+"""Entries written after a restore of the store replace the known ones.
 
-Its number is lower than that of the entry which the host knew: an upstream that
-began to drain kept its work.
+Their revision numbers are lower than those of the known entries. A comparison
+of the numbers alone ignored an upstream that had started to drain.
 """
 
 from dataclasses import replace
@@ -13,7 +13,7 @@
 from wardstair.state.entries import UpstreamPhase
 
 
-def test_an_upstream_that_drains_after_a_restore_gets_nothing() -> None:
+def test_an_upstream_that_drains_after_a_restore_receives_no_requests() -> None:
     catalog = Catalog(Clock())
     known = replace(ENTRY, revision=at(40), born=100)
     catalog.replace_all([known], at(40), store_was_away=False)
--- a/tests/unit/test_evacuations_after_restore.py
+++ b/tests/unit/test_evacuations_after_restore.py
@@ -1,7 +1,7 @@
-"""Evacuations that a restored store lacks stay in force for a while.
+"""Evacuations that a restored store lacks remain in force for a while.
 
-Without that hosts send to a zone that is being emptied, from the restore until
-the operator has written the evacuation again.
+Otherwise hosts would send requests to an evacuated zone between the restore and
+the time at which the operator writes the evacuation again.
 """
 
 from dataclasses import dataclass
@@ -24,15 +24,15 @@
 
 @dataclass(frozen=True)
 class Read:
-    """What a host reads from the store: the zones listed, at a revision."""
+    """A listing of evacuated zones that a host reads from the store."""
 
     zones: tuple[str, ...]
     number: int
     era: int
 
 
-def belief_of(clock: Clock) -> LocalState:
-    """Return what a host believes that knows the configuration."""
+def local_state_of(clock: Clock) -> LocalState:
+    """Return the state of a host that has the configuration."""
     local_state = LocalState(clock, Catalog(clock))
     stored = StoredObject(
         metadata=Metadata(name='main', revision=1),
@@ -50,65 +50,65 @@
         local_state.set_evacuated(one.zones, revision, 'watch')
 
 
-def tell(source: LocalState, target: LocalState) -> None:
-    """Hand on what a host fetches from another."""
-    told = source.shared_restore
-    if told is not None:
-        target.restoration.merge_peer_report(told.era, told.age)
+def send(source: LocalState, target: LocalState) -> None:
+    """Merge the state that a host fetches from another."""
+    shared = source.shared_restore
+    if shared is not None:
+        target.restoration.merge_peer_report(shared.era, shared.age)
     if source.evacuations_revision > target.evacuations_revision:
         target.set_evacuated(
             source.listed_zones,
             source.evacuations_revision,
             'host:test',
         )
-    if told is not None:
-        target.keep_evacuated(told.zones, told.era)
+    if shared is not None:
+        target.keep_evacuated(shared.zones, shared.era)
 
 
 KNOWN = Read((ZONE,), 40, 1)
-COPY = Read((), 5, 2)
+BACKUP = Read((), 5, 2)
 
 
 @pytest.mark.parametrize(
     ('reads', 'is_kept', 'is_kept_for_good'),
     [
-        pytest.param([COPY], True, False, id='not written again'),
+        pytest.param([BACKUP], True, False, id='not written again'),
         pytest.param(
-            [COPY, Read((ZONE,), 9, 2)],
+            [BACKUP, Read((ZONE,), 9, 2)],
             True,
             True,
             id='written again',
         ),
         pytest.param(
-            [COPY, Read((ZONE,), 9, 2), Read((), 10, 2)],
+            [BACKUP, Read((ZONE,), 9, 2), Read((), 10, 2)],
             False,
             False,
             id='written again and ended',
         ),
         pytest.param(
-            [COPY, Read((), 5, 3)],
+            [BACKUP, Read((), 5, 3)],
             True,
             False,
             id='two restores in a row',
         ),
         pytest.param(
-            [COPY, Read((ZONE,), 9, 2), Read((), 5, 3)],
+            [BACKUP, Read((ZONE,), 9, 2), Read((), 5, 3)],
             True,
             False,
             id='lost again',
         ),
         pytest.param([Read((), 41, 1)], False, False, id='ended, no restore'),
-        pytest.param([COPY, KNOWN], True, False, id='the era before, late'),
+        pytest.param([BACKUP, KNOWN], True, False, id='the era before, late'),
     ],
 )
-def test_what_the_copy_lacks_stays_in_force_for_a_while(
+def test_evacuations_missing_in_the_backup_are_kept_for_a_while(
     reads: list[Read],
     *,
     is_kept: bool,
     is_kept_for_good: bool,
 ) -> None:
     clock = Clock()
-    local_state = belief_of(clock)
+    local_state = local_state_of(clock)
     read(local_state, KNOWN, *reads)
     assert (ZONE in local_state.evacuated) is is_kept
     clock.now += PERIOD
@@ -116,55 +116,55 @@
     assert (ZONE in local_state.evacuated) is is_kept_for_good
 
 
-def test_upstreams_of_a_zone_that_is_given_up_are_cold() -> None:
+def test_upstreams_are_cold_when_a_kept_evacuation_ends() -> None:
     clock = Clock()
-    local_state = belief_of(clock)
-    read(local_state, KNOWN, COPY)
+    local_state = local_state_of(clock)
+    read(local_state, KNOWN, BACKUP)
     clock.now += PERIOD
     local_state.expire_kept_zones()
     assert local_state.catalog.upstreams[ENTRY.name].is_cold(clock.now)
 
 
-def test_a_host_that_starts_after_the_restore_is_told() -> None:
+def test_a_host_that_starts_after_the_restore_receives_kept_zones() -> None:
     clock = Clock()
-    known, newcomer = belief_of(clock), belief_of(clock)
-    read(newcomer, COPY)
-    read(known, KNOWN, COPY)
+    known, newcomer = local_state_of(clock), local_state_of(clock)
+    read(newcomer, BACKUP)
+    read(known, KNOWN, BACKUP)
     clock.now += PERIOD / 2
     assert known.versions.kept not in {0, newcomer.versions.kept}
-    tell(known, newcomer)
+    send(known, newcomer)
     assert newcomer.evacuated == {ZONE}
     clock.now += PERIOD / 2
     newcomer.expire_kept_zones()
     assert not newcomer.evacuated
 
 
-def test_a_host_that_has_the_store_back_late_brings_nothing_back() -> None:
+def test_a_host_that_reconnects_late_does_not_extend_the_period() -> None:
     clock = Clock()
-    early, late = belief_of(clock), belief_of(clock)
-    read(early, KNOWN, COPY)
+    early, late = local_state_of(clock), local_state_of(clock)
+    read(early, KNOWN, BACKUP)
     read(late, KNOWN)
     clock.now += PERIOD - 1
-    # From the earliest notice on, whoever tells.
-    tell(early, late)
+    # The period starts with the earliest notice of any host.
+    send(early, late)
     assert late.evacuated == {ZONE}
     clock.now += 1
     late.expire_kept_zones()
     early.expire_kept_zones()
     assert not late.evacuated
-    # One that reads by itself keeps it alone.
-    later = belief_of(clock)
-    read(later, KNOWN, COPY)
-    tell(later, early)
+    # A host that reads the restored store itself keeps the zone alone.
+    later = local_state_of(clock)
+    read(later, KNOWN, BACKUP)
+    send(later, early)
     assert not early.evacuated
 
 
-def test_an_evacuation_that_was_seen_to_end_is_not_kept_for_others() -> None:
+def test_an_evacuation_that_ended_in_this_era_is_not_kept() -> None:
     clock = Clock()
-    informed, other = belief_of(clock), belief_of(clock)
-    read(informed, KNOWN, COPY, Read((ZONE,), 9, 2), Read((), 10, 2))
-    read(other, KNOWN, COPY)
-    tell(other, informed)
+    informed, other = local_state_of(clock), local_state_of(clock)
+    read(informed, KNOWN, BACKUP, Read((ZONE,), 9, 2), Read((), 10, 2))
+    read(other, KNOWN, BACKUP)
+    send(other, informed)
     assert not informed.evacuated
 
 
@@ -183,22 +183,22 @@
     st.lists(st.tuples(st.integers(0, 2), st.sampled_from(HISTORY))),
     st.integers(0, 2**32),
 )
-def test_hosts_that_hear_in_any_order_end_up_the_same(
-    heard: list[tuple[int, Read]],
+def test_hosts_agree_for_any_order_of_reads_and_messages(
+    reads: list[tuple[int, Read]],
     seed: int,
 ) -> None:
     clock = Clock()
-    hosts = [belief_of(clock) for _ in range(3)]
+    hosts = [local_state_of(clock) for _ in range(3)]
     random = Random(seed)
-    for number, one in heard:
+    for number, one in reads:
         before = hosts[number].evacuations_revision
         read(hosts[number], one)
         assert hosts[number].evacuations_revision >= before
-        tell(*random.sample(hosts, 2))
+        send(*random.sample(hosts, 2))
     read(hosts[0], HISTORY[-1])
     for source in hosts * 2:
         for target in hosts:
-            tell(source, target)
+            send(source, target)
     clock.now += PERIOD
     for host in hosts:
         host.expire_kept_zones()
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_incarnations.py
@@ -1,4 +1,4 @@
-"""What a host learned of an upstream ends with that life of it."""
+"""Observations of an upstream hold for one incarnation."""
 
 from dataclasses import replace
 
@@ -33,7 +33,7 @@
     return catalog
 
 
-def test_a_new_life_begins_with_nothing_of_the_one_before() -> None:
+def test_a_new_incarnation_starts_without_earlier_observations() -> None:
     catalog = catalog_with(OLD)
     before = catalog.upstreams[ENTRY.name]
     before.note_failure(50.0)
@@ -53,7 +53,7 @@
     assert not after.warm.has('key', 50.0)
     assert after.slowness == 1.0
     assert after.is_cold(51.0)
-    # Whoever still waits for the life before finds that it has ended.
+    # Requests that still wait for the previous incarnation see that it ended.
     assert before.has_ended
     assert not before.takes_work
 
@@ -61,15 +61,18 @@
 @pytest.mark.parametrize(
     'late',
     [
-        pytest.param(OLD, id='the life before'),
-        pytest.param(replace(OLD, revision=at(9)), id='written late by it'),
+        pytest.param(OLD, id='previous incarnation'),
+        pytest.param(
+            replace(OLD, revision=at(9)),
+            id='late write of the previous incarnation',
+        ),
         pytest.param(
             replace(NEW, revision=at(6), phase=UpstreamPhase.draining),
-            id='an older word of this life',
+            id='older entry of this incarnation',
         ),
     ],
 )
-def test_an_old_entry_that_comes_late_changes_nothing(
+def test_an_old_entry_that_arrives_late_is_ignored(
     late: UpstreamEntry,
 ) -> None:
     catalog = catalog_with(NEW)
@@ -80,14 +83,14 @@
 
 
 @given(st.permutations([OLD, NEW, replace(NEW, revision=at(8)), OLD]))
-def test_hosts_that_hear_in_any_order_end_up_the_same(
+def test_entries_lead_to_the_same_result_in_any_order(
     entries: list[UpstreamEntry],
 ) -> None:
     catalog = catalog_with(*entries)
     assert catalog.upstreams[ENTRY.name].entry == replace(NEW, revision=at(8))
 
 
-def test_a_life_whose_address_was_taken_does_not_end_the_next() -> None:
+def test_a_new_incarnation_is_used_after_its_address_was_reused() -> None:
     catalog = catalog_with(OLD)
     catalog.mark_gone(ENTRY.name)
     assert not catalog.of_service('views')
@@ -95,23 +98,23 @@
     assert len(catalog.of_service('views')) == 1
 
 
-def test_a_life_that_ended_is_avoided_until_the_next_is_told() -> None:
+def test_an_ended_incarnation_is_avoided_until_the_next_registers() -> None:
     catalog = catalog_with(OLD)
     upstream = catalog.note_ended(catalog.upstreams[ENTRY.name].incarnation)
     assert upstream is catalog.upstreams[ENTRY.name]
     upstream.assume_cold(50.0)
     assert catalog.upstreams[ENTRY.name].is_avoided(55.9)
     assert catalog.upstreams[ENTRY.name].is_cold(55.9)
-    # It may live after all.
+    # It may be running after all, so it is tried again.
     assert not catalog.upstreams[ENTRY.name].is_avoided(56.0)
     catalog.apply([NEW], [], at(20), store_was_away=False)
     assert not catalog.upstreams[ENTRY.name].is_avoided(50.0)
-    # Word of the life before that comes late says nothing of this one.
+    # A late report about the previous incarnation does not affect this one.
     catalog.note_ended(f'{ENTRY.name}@{OLD.born}')
     assert not catalog.upstreams[ENTRY.name].is_avoided(50.0)
 
 
-def test_other_hosts_are_told_of_lives() -> None:
+def test_changes_for_other_hosts_contain_incarnations() -> None:
     changes = CatalogChanges(NO_REVISION, at(9), (NEW,))
     decoded = decode_state(
         StateEncoder().encode(SharedState(None, None, changes))
@@ -125,15 +128,15 @@
     ('born', 'read'),
     [
         pytest.param(1_700_000_000_123, 1_700_000_000_123, id='whole number'),
-        pytest.param(None, 0, id='an upstream that does not say'),
+        pytest.param(None, 0, id='not stated'),
         pytest.param('1700000000123', None, id='text'),
         pytest.param(1.5, None, id='fraction'),
-        pytest.param(True, None, id='a flag'),
-        pytest.param(-1, None, id='before time'),
+        pytest.param(True, None, id='boolean'),
+        pytest.param(-1, None, id='negative'),
         pytest.param([1], None, id='list'),
     ],
 )
-def test_the_start_of_a_life_is_read_or_the_entry_names_nobody(
+def test_an_entry_with_an_invalid_start_time_is_unusable(
     born: object,
     read: int | None,
 ) -> None:
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -1,4 +1,4 @@
-"""What upstreams name, as a host reads, keeps and hands it on."""
+"""Rate limits announced by upstreams: parsing, retention and exchange."""
 
 from dataclasses import replace
 
@@ -42,38 +42,38 @@
 def test_a_limit_is_a_decimal_number(text: str, rate: float | None) -> None:
     fields = decode_upstream([('server-LIMIT', text)])
     assert fields.limit == ToldLimit(rate)
-    # The caller's side gets it as the upstream wrote it.
+    # The caller receives the header unchanged.
     assert fields.passed_on == (('server-LIMIT', text),)
 
 
-def test_an_answer_without_the_header_names_none() -> None:
+def test_an_answer_without_the_header_has_no_limit() -> None:
     assert decode_upstream([('Content-Length', '3')]).limit is None
 
 
 @pytest.mark.parametrize(
-    ('named', 'rate'),
+    ('announced', 'rate'),
     [
         ([4.0], 4.0),
         ([4.0, 2.5], 2.5),
         ([4.0, None], None),
         ([4.0, None, 3.0], 3.0),
-        # Unreadable: it is still in need, as far as it said before.
+        # A value that cannot be parsed keeps the previous limit in force.
         ([4.0, 'unreadable'], 4.0),
         (['unreadable'], None),
-        # So much that it binds nobody.
+        # Rates so high that they are no limit.
         ([4.0, 1e300], None),
         ([float('inf')], None),
         ([0.0], 0.0),
     ],
 )
-def test_what_it_named_last_holds(
-    named: list[float | str | None],
+def test_the_last_announced_limit_is_in_force(
+    announced: list[float | str | None],
     rate: float | None,
 ) -> None:
     clock = Clock()
     table = LimitTable(clock)
     upstream = upstream_of()
-    for one in named:
+    for one in announced:
         clock.now += 1
         match one:
             case None:
@@ -85,14 +85,14 @@
     assert table.rate_of(upstream) == rate
 
 
-def test_it_belongs_to_a_life() -> None:
+def test_a_limit_holds_for_one_incarnation() -> None:
     clock = Clock()
     table = LimitTable(clock)
     table.note(upstream_of(born=1), ToldLimit(4.0))
     assert table.rate_of(upstream_of(born=2)) is None
     table.note(upstream_of(born=2), None)
     table.note(upstream_of(born=2), ToldLimit(7.0))
-    # What is told late of the life before.
+    # A late report about the previous incarnation.
     clock.now += 1
     table.merge_peer_limits({'u': SharedLimit(1, 4.0, 0.0)}, 'host')
     assert table.rate_of(upstream_of(born=2)) == 7.0
@@ -101,12 +101,12 @@
 @pytest.mark.parametrize(
     ('age', 'rate'),
     [
-        # Another host had an answer before, and one after this host's.
+        # The answer to the other host was before or after that to this host.
         (5.0, 4.0),
         (1.0, None),
     ],
 )
-def test_the_last_answer_of_any_host_counts(
+def test_the_last_answer_to_any_host_counts(
     age: float,
     rate: float | None,
 ) -> None:
@@ -119,7 +119,7 @@
     assert table.rate_of(upstream) == rate
 
 
-def test_hosts_that_told_each_other_know_the_same() -> None:
+def test_hosts_agree_after_an_exchange() -> None:
     clock = Clock()
     one = LimitTable(clock)
     two = LimitTable(clock)
@@ -134,23 +134,23 @@
     before = one.digest
     clock.now += 1
     one.note(upstream_of('a'), ToldLimit(4.0))
-    # Only its age is new: nobody has to be told.
+    # Only the age has changed, which is not announced.
     assert one.digest == before
 
 
-def test_news_are_told_once() -> None:
+def test_a_repeated_limit_is_announced_once() -> None:
     table = LimitTable(Clock())
-    told: list[None] = []
-    table.on_change = lambda: told.append(None)
+    calls: list[None] = []
+    table.on_change = lambda: calls.append(None)
     clock = table.clock
     assert isinstance(clock, Clock)
     for _ in range(3):
         clock.now += 1
         table.note(upstream_of(), ToldLimit(4.0))
-    assert len(told) == 1
+    assert len(calls) == 1
 
 
-def test_what_has_ended_or_gone_is_forgotten_after_a_while() -> None:
+def test_ended_limits_and_absent_upstreams_are_dropped_after_a_while() -> None:
     clock = Clock()
     table = LimitTable(clock)
     for name in ('here', 'gone', 'ended'):
--- a/tests/unit/test_revision.py
+++ b/tests/unit/test_revision.py
@@ -1,4 +1,4 @@
-"""The order of revisions of a store that may be restored from a copy."""
+"""The order of revisions of a store that may be restored from a backup."""
 
 import pytest
 from lib.revisions import at
@@ -13,11 +13,11 @@
         pytest.param(at(40, era=1), at(5, era=2), id='issued again'),
         pytest.param(at(40, era=1), at(40, era=3), id='two restores later'),
         pytest.param(NO_REVISION, at(0), id='anything after nothing'),
-        # A store that does not tell its era.
+        # A store that does not report its era.
         pytest.param(at(5, era=0), at(6, era=0), id='no eras'),
     ],
 )
-def test_the_later_era_is_newer_whatever_its_numbers(
+def test_a_later_era_is_newer_for_any_numbers(
     older: Revision,
     newer: Revision,
 ) -> None:
--- a/tests/unit/test_settled_era.py
+++ b/tests/unit/test_settled_era.py
@@ -1,7 +1,8 @@
 """Upstreams of a host that starts alone after a restore of the store.
 
 A restored store may list an outdated entry of an upstream that has since
-restarted. The tests guard against overloading it while it is cold.
+restarted. The tests guard against overloading such an upstream while it is
+cold.
 """
 
 from dataclasses import replace
@@ -63,7 +64,7 @@
 
 
 @pytest.mark.parametrize('is_alone', [False, True])
-def test_the_first_era_is_no_recent_restore(*, is_alone: bool) -> None:
+def test_the_first_era_is_not_a_recent_restore(*, is_alone: bool) -> None:
     restoration = Restoration(Clock())
     restoration.enter(1)
     if is_alone:
--- a/tests/unit/test_news.py
+++ b/tests/unit/test_state_updates.py
@@ -1,4 +1,4 @@
-"""News that hosts send each other in datagrams."""
+"""State updates that hosts send each other in datagrams."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class _Host:
-    """What a host believes, and how it tells others."""
+    """The state of a host and its exchange with other hosts."""
 
     def __init__(self) -> None:
         self.local_state = LocalState(Clock(), Catalog(Clock()))
@@ -59,7 +59,7 @@
 
 
 def run(test: Callable[[], None]) -> None:
-    """Run a test where clients can be made."""
+    """Run a test in an event loop, which HTTP clients require."""
 
     async def main() -> None:
         test()
@@ -68,77 +68,77 @@
 
 
 @pytest.mark.parametrize(
-    ('known', 'is_taken'),
+    ('known', 'is_merged'),
     [
-        pytest.param(5, True, id='knows what was before'),
+        pytest.param(5, True, id='has the previous revision'),
         pytest.param(4, False, id='has missed a change'),
-        pytest.param(9, False, id='knows more'),
+        pytest.param(9, False, id='is ahead'),
     ],
 )
-def test_a_datagram_is_taken_where_it_leaves_no_gap(
+def test_a_datagram_is_merged_if_it_leaves_no_gap(
     known: int,
     *,
-    is_taken: bool,
+    is_merged: bool,
 ) -> None:
     def test() -> None:
-        teller, hearer = _Host(), _Host()
-        teller.list_upstreams(5, ENTRY)
-        teller.exchange.take_update()
-        hearer.list_upstreams(known, ENTRY)
-        teller.change(6, replace(ENTRY, phase=UpstreamPhase.draining))
-        news = teller.exchange.take_update()
-        assert news is not None
-        assert news.state is not None
-        assert hearer.exchange.receive_datagram(news.state)
-        assert hearer.uses(ENTRY.name) is not is_taken
+        sender, receiver = _Host(), _Host()
+        sender.list_upstreams(5, ENTRY)
+        sender.exchange.take_update()
+        receiver.list_upstreams(known, ENTRY)
+        sender.change(6, replace(ENTRY, phase=UpstreamPhase.draining))
+        update = sender.exchange.take_update()
+        assert update is not None
+        assert update.state is not None
+        assert receiver.exchange.receive_datagram(update.state)
+        assert receiver.uses(ENTRY.name) is not is_merged
 
     run(test)
 
 
-def test_an_evacuation_is_told_in_a_datagram() -> None:
+def test_an_evacuation_is_sent_in_a_datagram() -> None:
     def test() -> None:
-        teller, hearer = _Host(), _Host()
-        teller.local_state.set_evacuated(['z1'], at(7), 'watch')
-        news = teller.exchange.take_update()
-        assert news is not None
-        assert news.state is not None
-        assert hearer.exchange.receive_datagram(news.state)
-        assert hearer.local_state.evacuated == {'z1'}
+        sender, receiver = _Host(), _Host()
+        sender.local_state.set_evacuated(['z1'], at(7), 'watch')
+        update = sender.exchange.take_update()
+        assert update is not None
+        assert update.state is not None
+        assert receiver.exchange.receive_datagram(update.state)
+        assert receiver.local_state.evacuated == {'z1'}
 
     run(test)
 
 
-def test_what_is_too_large_for_a_datagram_is_fetched() -> None:
+def test_an_update_too_large_for_a_datagram_has_no_state() -> None:
     def test() -> None:
-        teller = _Host()
+        sender = _Host()
         many = [replace(ENTRY, name=f'i-{number}') for number in range(100)]
-        teller.list_upstreams(5, *many)
-        news = teller.exchange.take_update()
-        assert news is not None
-        assert news.state is None
+        sender.list_upstreams(5, *many)
+        update = sender.exchange.take_update()
+        assert update is not None
+        assert update.state is None
 
     run(test)
 
 
-def test_nothing_new_is_no_news() -> None:
+def test_unchanged_state_makes_no_update() -> None:
     def test() -> None:
-        teller = _Host()
-        teller.list_upstreams(5, ENTRY)
-        assert teller.exchange.take_update() is not None
-        assert teller.exchange.take_update() is None
+        sender = _Host()
+        sender.list_upstreams(5, ENTRY)
+        assert sender.exchange.take_update() is not None
+        assert sender.exchange.take_update() is None
 
     run(test)
 
 
 @pytest.mark.parametrize('datagram', [b'', b'\x80', b'not state'])
-def test_a_datagram_that_is_no_state_is_told_apart(datagram: bytes) -> None:
+def test_a_datagram_without_state_is_rejected(datagram: bytes) -> None:
     def test() -> None:
         assert not _Host().exchange.receive_datagram(datagram)
 
     run(test)
 
 
-def test_hosts_that_do_not_answer_keep_no_task_busy() -> None:
+def test_waiting_for_unanswered_fetches_starts_no_tasks() -> None:
     async def measure() -> int:
         host = _Host()
         exchange = host.exchange
@@ -147,18 +147,19 @@
         for name in ('a', 'b'):
             exchange.on_heartbeat(beat_of(peer_of(name), versions=ahead))
             await asyncio.sleep(TIMING.near_hedge * 2)
-        # Being asked already, and with no place for a comparison.
+        # The first host is already queried, and both comparison slots are
+        # occupied.
         exchange.on_heartbeat(beat_of(peer_of('a'), number=2, versions=ahead))
         exchange.on_heartbeat(
             beat_of(peer_of('c'), versions=Versions(limits=5))
         )
         await asyncio.sleep(0)
-        begun = 0
+        started = 0
         for _ in range(20):
             before = asyncio.all_tasks()
             await asyncio.sleep(0)
-            begun += len(asyncio.all_tasks() - before)
+            started += len(asyncio.all_tasks() - before)
         exchange.close()
-        return begun
+        return started
 
     assert asyncio.run(measure()) == 0
--- a/tests/unit/test_upstreams_after_restore.py
+++ b/tests/unit/test_upstreams_after_restore.py
@@ -1,7 +1,8 @@
-"""Upstreams of which a restored store is behind the truth.
+"""Upstreams with outdated or missing entries in a restored store.
 
-Without that hosts send to an upstream that has left, or that drains, since the
-copy lists it as ready; and drop one that lives, since the copy lacks it.
+The tests guard against two failures: hosts send to an upstream that has left or
+drains because the backup lists it as ready, and they drop a running upstream
+because the backup lacks it.
 """
 
 from dataclasses import dataclass, replace
@@ -18,16 +19,16 @@
 READY = replace(ENTRY, revision=at(20), born=100)
 OTHER = replace(ENTRY, name='i-2', revision=at(21), born=100)
 DRAINING = replace(READY, revision=at(30), phase=UpstreamPhase.draining)
-# As the restored store lists and issues them.
-COPIED = replace(READY, revision=at(4, era=2))
-OTHER_COPIED = replace(OTHER, revision=at(5, era=2))
+# The entries as listed by the restored store, and one that is written again.
+BACKED_UP = replace(READY, revision=at(4, era=2))
+OTHER_BACKED_UP = replace(OTHER, revision=at(5, era=2))
 AGAIN = replace(READY, revision=at(9, era=2))
 RESTORED = at(7, era=2)
 
 
 @dataclass
 class Host:
-    """A catalog that knows two upstreams, one of which may have left."""
+    """A catalog with two upstreams, one of which may have left."""
 
     clock: Clock
     catalog: Catalog
@@ -42,16 +43,16 @@
         self.clock.now += seconds
         self.catalog.expire_missing()
 
-    def list_copy(self, *entries: UpstreamEntry) -> None:
+    def list_backup(self, *entries: UpstreamEntry) -> None:
         self.catalog.replace_all(
-            [*entries, OTHER_COPIED],
+            [*entries, OTHER_BACKED_UP],
             RESTORED,
             store_was_away=False,
         )
 
 
 def host_of(known: str, clock: Clock | None = None) -> Host:
-    """Return a host that knows the upstream as ready, draining or gone."""
+    """Return a host whose upstream is ready, draining or gone."""
     clock = clock or Clock()
     catalog = Catalog(clock)
     catalog.restoration.period = lambda: PERIOD
@@ -64,8 +65,8 @@
     return Host(clock, catalog)
 
 
-def hand_on(source: Catalog, target: Catalog) -> None:
-    """Hand changes on as they travel, with the age of the restore."""
+def send_changes(source: Catalog, target: Catalog) -> None:
+    """Send encoded changes and the age of the restore."""
     age = source.restoration.age
     if age is not None:
         target.restoration.merge_peer_report(source.restoration.era, age)
@@ -78,32 +79,32 @@
 
 
 @pytest.mark.parametrize('known', ['draining', 'gone'])
-def test_one_that_had_left_is_not_used_while_the_restore_is_recent(
+def test_a_stale_upstream_is_not_used_while_the_restore_is_recent(
     known: str,
 ) -> None:
     host = host_of(known)
-    host.list_copy(COPIED)
+    host.list_backup(BACKED_UP)
     assert not host.used
-    # Listed once more, as when the store forgets its history.
-    host.list_copy(COPIED)
+    # The kind is listed again when the store has dropped its history.
+    host.list_backup(BACKED_UP)
     host.wait(PERIOD - 1)
     assert not host.used
-    # The store has not noticed its silence by now: it lives.
+    # The store has not expired the entry by now, so the upstream is running.
     host.wait(1)
     assert host.used
 
 
 @pytest.mark.parametrize('known', ['draining', 'gone'])
 @pytest.mark.parametrize('is_listed', [False, True])
-def test_one_that_writes_again_is_used_at_once(
+def test_a_stale_upstream_that_registers_again_is_used_at_once(
     known: str,
     *,
     is_listed: bool,
 ) -> None:
     host = host_of(known)
-    host.list_copy(COPIED)
+    host.list_backup(BACKED_UP)
     if is_listed:
-        host.list_copy(AGAIN)
+        host.list_backup(AGAIN)
     else:
         host.catalog.apply([AGAIN], [], at(9, era=2), store_was_away=False)
     assert host.used
@@ -112,26 +113,26 @@
 
 
 @pytest.mark.parametrize('known', ['draining', 'gone'])
-def test_one_that_the_store_drops_stays_out(known: str) -> None:
+def test_a_stale_upstream_that_the_store_drops_is_not_used(known: str) -> None:
     host = host_of(known)
-    host.list_copy(COPIED)
+    host.list_backup(BACKED_UP)
     host.catalog.apply([], [READY.name], at(9, era=2), store_was_away=True)
     host.wait(PERIOD)
     assert not host.used
 
 
 @pytest.mark.parametrize('known', ['draining', 'gone'])
-def test_another_life_of_that_name_is_used(known: str) -> None:
+def test_a_new_incarnation_of_a_stale_upstream_is_used(known: str) -> None:
     host = host_of(known)
-    host.list_copy(replace(COPIED, born=200))
+    host.list_backup(replace(BACKED_UP, born=200))
     assert host.used
 
 
-def test_two_restores_in_a_row_bring_nothing_back() -> None:
+def test_a_stale_upstream_is_not_used_after_two_restores() -> None:
     host = host_of('gone')
-    host.list_copy(COPIED)
+    host.list_backup(BACKED_UP)
     host.wait(1)
-    third = replace(COPIED, revision=at(4, era=3))
+    third = replace(BACKED_UP, revision=at(4, era=3))
     other = replace(OTHER, revision=at(5, era=3))
     host.catalog.replace_all([third, other], at(7, era=3), store_was_away=False)
     host.wait(PERIOD - 1)
@@ -139,15 +140,15 @@
 
 
 @pytest.mark.parametrize('known', ['ready', 'draining', 'gone', 'nothing'])
-def test_another_host_does_not_use_it_either(known: str) -> None:
+def test_a_peer_does_not_use_a_stale_upstream(known: str) -> None:
     clock = Clock()
     informed = host_of('gone', clock)
-    informed.list_copy(COPIED)
+    informed.list_backup(BACKED_UP)
     other = host_of(known, clock)
     if known == 'nothing':
         other.catalog = Catalog(clock)
         other.catalog.restoration.period = lambda: PERIOD
-    hand_on(informed.catalog, other.catalog)
+    send_changes(informed.catalog, other.catalog)
     assert not other.used
     informed.wait(PERIOD)
     other.wait(0)
@@ -155,9 +156,11 @@
     assert other.used
 
 
-def test_one_that_the_copy_lacks_is_used_until_it_should_be_back() -> None:
+def test_an_upstream_missing_in_the_backup_is_used_for_the_return_time() -> (
+    None
+):
     host = host_of('ready')
-    host.list_copy()
+    host.list_backup()
     assert host.used
     host.wait(RETURN_SECONDS)
     assert not host.used
@@ -165,10 +168,10 @@
     assert host.used
 
 
-def test_one_that_the_copy_lacks_is_not_kept_by_a_host_that_is_late() -> None:
+def test_a_late_host_does_not_keep_an_upstream_missing_in_the_backup() -> None:
     clock = Clock()
     early, late = host_of('ready', clock), host_of('ready', clock)
-    early.list_copy()
+    early.list_backup()
     early.wait(RETURN_SECONDS)
-    hand_on(early.catalog, late.catalog)
+    send_changes(early.catalog, late.catalog)
     assert not late.used
