--- a/src/wardstair/state/contact.py
+++ b/src/wardstair/state/contact.py
@@ -92,7 +92,7 @@
         """Wait for the first answer, which also shows the era if any."""
         await self._answered.wait()
 
-    def next_regain(self) -> 'asyncio.Future[None]':
+    def next_renewal(self) -> 'asyncio.Future[None]':
         """Return a future that is done when watches are to be renewed.
 
         That is when contact is regained or becomes suspect, or when the store
--- a/src/wardstair/state/refreshing.py
+++ b/src/wardstair/state/refreshing.py
@@ -70,8 +70,8 @@
         if age < times.ask_telling:
             return False
         since = asyncio.get_running_loop().time() - self._asked_at
-        ask = ask_after(times, tells_others=self._roles.is_relay())
-        return age >= ask and may_ask(len(self._queries), since, times.again)
+        limit = ask_after(times, tells_others=self._roles.is_relay())
+        return age >= limit and may_ask(len(self._queries), since, times.again)
 
     def _has_started(self) -> bool:
         if self._local_state.steering is None:
--- a/src/wardstair/state/registration.py
+++ b/src/wardstair/state/registration.py
@@ -133,7 +133,7 @@
             await self._register_once()
         has_grown = self._members.fleet_size > self._stated_size * GROWN_FACTOR
         if has_grown or self._restoration.complete_era > self._stated_era:
-            await self._until_done(self._restate)
+            await self._until_done(self._rewrite)
         await self._clean()
 
     async def _register_once(self) -> None:
@@ -161,12 +161,12 @@
             case Err(VersionConflict()):
                 # The object is from an earlier run of this host or from a call
                 # whose answer was lost. The addresses may have changed.
-                return await self._restate()
+                return await self._rewrite()
             case Err(error):
                 self._note_failure('registration', error)
                 return False
 
-    async def _restate(self) -> bool:
+    async def _rewrite(self) -> bool:
         host = self._build_registered_host()
         replaced = await self._store.replace(
             HOST_KIND,
@@ -261,18 +261,18 @@
         known = self._revisions
         stale = [name for name in self._members.forgotten() if name in known]
         relays = self._members.relays
-        mine = [
+        assigned = [
             name
             for name in stale
             if rendezvous(relays, f'clean {name}', 1) == [self._own.name]
         ]
-        if not mine:
+        if not assigned:
             return
         # A restored store may have issued the same revision number again to a
         # host that has registered anew and is running. Deletion is conditional
         # on the number only, so the era has to be compared here.
         await self._until_done(self._find)
-        for name in mine:
+        for name in assigned:
             is_unchanged = self._revisions.get(name) == known[name]
             if is_unchanged and not await self._remove(name, known[name]):
                 return
--- a/src/wardstair/state/upstream.py
+++ b/src/wardstair/state/upstream.py
@@ -76,7 +76,7 @@
             cold, because it refused a connection.
         gone_at: Monotonic time at which its entry was deleted, or None.
         reported_load: Running and waiting requests in its last load report.
-        own_when_reported: This host's requests in flight at that report.
+        in_flight_at_report: This host's requests in flight at that report.
         reported_at: Monotonic time of that report.
         utilization: Reported load per slot, averaged over the last seconds.
         rebalance_factor: Factor on its weight in the key ranking; below 1 after
@@ -101,7 +101,7 @@
     refused_until: float = 0.0
     gone_at: float | None = None
     reported_load: int = 0
-    own_when_reported: int = 0
+    in_flight_at_report: int = 0
     reported_at: float = float('-inf')
     utilization: float = 0.0
     rebalance_factor: float = 1.0
@@ -200,7 +200,9 @@
         if age >= REPORT_SECONDS:
             return float(self.in_flight)
         freshness = 1 - age / REPORT_SECONDS
-        others = max(0, self.reported_load - self.own_when_reported) * freshness
+        others = (
+            max(0, self.reported_load - self.in_flight_at_report) * freshness
+        )
         return others + self.in_flight
 
     def note_load(self, running_and_waiting: int, now: float) -> None:
@@ -214,7 +216,7 @@
         reported = running_and_waiting / self.entry.slots
         self.utilization += weight * (reported - self.utilization)
         self.reported_load = running_and_waiting
-        self.own_when_reported = self.in_flight
+        self.in_flight_at_report = self.in_flight
         self.reported_at = now
 
     def slowness_now(self, now: float) -> float:
--- a/src/wardstair/state/watching.py
+++ b/src/wardstair/state/watching.py
@@ -332,7 +332,7 @@
         self._wait_seconds = seconds
         try:
             ended, _ = await asyncio.wait(
-                (watching, dropped, self._contact.next_regain()),
+                (watching, dropped, self._contact.next_renewal()),
                 timeout=late_after,
                 return_when=asyncio.FIRST_COMPLETED,
             )
@@ -388,13 +388,13 @@
                     kind=self._plan.kind,
                     revision=self.revision,
                 )
-            case _ if self._is_refuted(asked_at):
+            case _ if self._answered_since(asked_at):
                 log_event('store-answered-later', kind=self._plan.kind)
             case _:
                 reason = getattr(error, 'message', type(error).__name__)
                 self._contact.note_failure(f'{self._plan.kind}: {reason}')
 
-    def _is_refuted(self, asked_at: float | None) -> bool:
+    def _answered_since(self, asked_at: float | None) -> bool:
         """Return whether the store has answered since a failed call began."""
         heard_at = self._contact.heard_at
         if asked_at is None or heard_at is None or self._contact.is_lost:
--- a/tests/unit/test_catalog.py
+++ b/tests/unit/test_catalog.py
@@ -155,7 +155,7 @@
         for _ in range(20):
             await asyncio.sleep(0)
         assert len(retried) == 1
-        regained = contact.next_regain()
+        regained = contact.next_renewal()
         # Longer than the tolerated outage, which is zero here.
         clock.now += 1
         contact.note_success()
--- a/tests/unit/test_evacuations_after_restore.py
+++ b/tests/unit/test_evacuations_after_restore.py
@@ -98,7 +98,9 @@
             id='lost again',
         ),
         pytest.param([Read((), 41, 1)], False, False, id='ended, no restore'),
-        pytest.param([BACKUP, KNOWN], True, False, id='the era before, late'),
+        pytest.param(
+            [BACKUP, KNOWN], True, False, id='late read of the previous era'
+        ),
     ],
 )
 def test_evacuations_missing_in_the_backup_are_kept_for_a_while(
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -27,7 +27,7 @@
 START = 1_800_000_000
 
 
-class Day:
+class SuspectHost:
     """A table with a clock that the test sets."""
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize('path', [sent, stored])
 def test_evidence_of_three_hosts_is_merged_over_each_path(path: object) -> None:
     assert callable(path)
-    hosts = [Day() for _ in range(3)]
+    hosts = [SuspectHost() for _ in range(3)]
     for number, host in enumerate(hosts):
         host.end(A, f'u{number}@1')
         assert not host.table.held
@@ -95,108 +95,108 @@
     ],
 )
 def test_records_expire(incarnations: int, seconds: int, is_kept: bool) -> None:
-    day = Day()
-    day.end(A, *(f'u{number}@1' for number in range(incarnations)))
-    day.now += seconds
-    day.table.expire()
-    assert (A in day.table.records) is is_kept
-    assert bool(day.table.held) is (is_kept and incarnations >= 3)
-    assert bool(day.table.digest) is is_kept
+    host = SuspectHost()
+    host.end(A, *(f'u{number}@1' for number in range(incarnations)))
+    host.now += seconds
+    host.table.expire()
+    assert (A in host.table.records) is is_kept
+    assert bool(host.table.held) is (is_kept and incarnations >= 3)
+    assert bool(host.table.digest) is is_kept
 
 
 @pytest.mark.parametrize('seconds', [0, SUSPECT_SECONDS + 60])
 def test_a_host_that_starts_minutes_later_receives_records(
     seconds: int,
 ) -> None:
-    day, newcomer = Day(), Day()
-    day.end(A, 'u1@1', 'u2@1', 'u3@1')
+    host, newcomer = SuspectHost(), SuspectHost()
+    host.end(A, 'u1@1', 'u2@1', 'u3@1')
     newcomer.now += seconds
-    newcomer.table.add_evidence(sent(day.table.records))
+    newcomer.table.add_evidence(sent(host.table.records))
     assert newcomer.table.held == {A}
     newcomer.now = START + HELD_SECONDS
     newcomer.table.expire()
     # Expired evidence is not added again.
-    assert not newcomer.table.add_evidence(sent(day.table.records))
+    assert not newcomer.table.add_evidence(sent(host.table.records))
 
 
 def test_another_exit_renews_a_record() -> None:
-    day = Day()
-    day.end(A, 'u1@1', 'u2@1')
-    day.now += SUSPECT_SECONDS - 1
-    day.end(A, 'u3@1')
-    assert day.table.held == {A}
-    assert day.table.seconds_left(A) == HELD_SECONDS
+    host = SuspectHost()
+    host.end(A, 'u1@1', 'u2@1')
+    host.now += SUSPECT_SECONDS - 1
+    host.end(A, 'u3@1')
+    assert host.table.held == {A}
+    assert host.table.seconds_left(A) == HELD_SECONDS
 
 
 def test_a_clock_that_is_ahead_does_not_extend_holding() -> None:
-    ahead = Day()
+    ahead = SuspectHost()
     ahead.now += 10 * HELD_SECONDS
     ahead.end(A, 'u1@1', 'u2@1', 'u3@1')
-    day = Day()
-    day.table.add_evidence(ahead.table.records)
-    assert day.table.held == {A}
-    assert day.table.seconds_left(A) <= HELD_SECONDS
-    day.now += HELD_SECONDS
-    day.table.expire()
-    assert not day.table.records
+    host = SuspectHost()
+    host.table.add_evidence(ahead.table.records)
+    assert host.table.held == {A}
+    assert host.table.seconds_left(A) <= HELD_SECONDS
+    host.now += HELD_SECONDS
+    host.table.expire()
+    assert not host.table.records
 
 
 def test_ever_new_requests_use_bounded_capacity() -> None:
-    day = Day()
-    day.end(A, 'u1@1', 'u2@1', 'u3@1')
+    host = SuspectHost()
+    host.end(A, 'u1@1', 'u2@1', 'u3@1')
     for number in range(MAX_RECORDS + 50):
-        day.end(content(1000 + number), 'u4@1')
-        assert len(day.table.records) <= MAX_RECORDS
+        host.end(content(1000 + number), 'u4@1')
+        assert len(host.table.records) <= MAX_RECORDS
     # Records with the fewest incarnations are dropped first.
-    assert day.table.held == {A}
+    assert host.table.held == {A}
 
 
 def test_incarnations_of_one_request_use_bounded_capacity() -> None:
-    day = Day()
-    day.end(A, *(f'u{number}@1' for number in range(MAX_INCARNATIONS * 2)))
+    host = SuspectHost()
+    host.end(A, *(f'u{number}@1' for number in range(MAX_INCARNATIONS * 2)))
     for number in range(MAX_INCARNATIONS * 2):
-        day.table.note_answered(A, f'v{number}@1')
-    known = day.table.records[A]
+        host.table.note_answered(A, f'v{number}@1')
+    known = host.table.records[A]
     assert len(known.ended) == MAX_INCARNATIONS
     assert len(known.answered) == MAX_INCARNATIONS
 
 
 def test_lifting_a_request_applies_to_all_hosts() -> None:
-    day, other = Day(), Day()
-    day.end(A, 'u1@1', 'u2@1', 'u3@1')
-    other.table.add_evidence(day.table.records)
-    assert not day.table.lift(content(2))
-    assert day.table.lift(A)
-    assert not day.table.held
+    host, other = SuspectHost(), SuspectHost()
+    host.end(A, 'u1@1', 'u2@1', 'u3@1')
+    other.table.add_evidence(host.table.records)
+    assert not host.table.lift(content(2))
+    assert host.table.lift(A)
+    assert not host.table.held
     # Evidence of a host that has not received the lift does not restore it.
-    day.table.add_evidence(other.table.records)
-    assert not day.table.held
-    other.table.add_evidence(sent(day.table.records))
+    host.table.add_evidence(other.table.records)
+    assert not host.table.held
+    other.table.add_evidence(sent(host.table.records))
     assert not other.table.held
     # The request is held again after further exits.
-    day.now += 1
-    day.end(A, 'u4@1', 'u5@1', 'u6@1')
-    assert day.table.held == {A}
+    host.now += 1
+    host.end(A, 'u4@1', 'u5@1', 'u6@1')
+    assert host.table.held == {A}
 
 
 def test_each_ended_incarnation_is_reported_once() -> None:
-    day, other = Day(), Day()
+    host, other = SuspectHost(), SuspectHost()
     reported: list[str] = []
     other.table.on_ended = reported.append
-    day.end(A, 'u1@1')
-    other.table.add_evidence(sent(day.table.records))
-    other.table.add_evidence(sent(day.table.records))
-    day.end(A, 'u2@1')
-    other.table.add_evidence(sent(day.table.records))
+    host.end(A, 'u1@1')
+    other.table.add_evidence(sent(host.table.records))
+    other.table.add_evidence(sent(host.table.records))
+    host.end(A, 'u2@1')
+    other.table.add_evidence(sent(host.table.records))
     assert reported == ['u1@1', 'u2@1']
 
 
 def test_a_request_with_a_single_incarnation_is_not_stored() -> None:
-    day = Day()
-    day.end(A, 'u1@1')
-    assert not day.table.shared
-    day.end(A, 'u2@1')
-    assert set(day.table.shared) == {A}
+    host = SuspectHost()
+    host.end(A, 'u1@1')
+    assert not host.table.shared
+    host.end(A, 'u2@1')
+    assert set(host.table.shared) == {A}
 
 
 @pytest.mark.parametrize(
