--- a/src/wardstair/gateway/choosing.py
+++ b/src/wardstair/gateway/choosing.py
@@ -34,7 +34,7 @@
 from wardstair.gateway.settings import LiveSettings
 from wardstair.gateway.splitting import TrafficSplitter
 from wardstair.process.log import log_event
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import Upstream
 from wardstair.version.steering import SteeredRoute
 
@@ -119,26 +119,26 @@
     def __init__(
         self,
         settings: LiveSettings,
-        belief: Belief,
+        local_state: LocalState,
         distances: Distances,
     ) -> None:
         """Create a chooser.
 
         Args:
             settings: Settings of this host.
-            belief: State known to this host.
+            local_state: State known to this host.
             distances: Round-trip times to zones.
         """
         own = settings.current
         self.view = HostView.unsettled(own.name, own.zone)
         self._settings = settings
-        self._belief = belief
+        self._local_state = local_state
         self._distances = distances
-        self._key_ranking = KeyRanking(settings, belief)
-        self.cold_sends = ColdSends(settings, belief, lambda: self.view)
+        self._key_ranking = KeyRanking(settings, local_state)
+        self.cold_sends = ColdSends(settings, local_state, lambda: self.view)
         self.load_view = LoadView(own.name, own.zone)
         self.limited_sends = LimitedSends(
-            belief.limits,
+            local_state.limits,
             lambda: self.load_view,
         )
         self.splitter = TrafficSplitter()
@@ -185,9 +185,9 @@
             )
         match reason:
             case ColdReason.refused:
-                upstream.suspect_restart(now)
+                upstream.assume_cold_locally(now)
             case ColdReason.ended:
-                upstream.suspect_new_life(now)
+                upstream.assume_cold(now)
 
     def choose(self, query: UpstreamQuery) -> Placement | None:
         """Choose an upstream for one send; None if none has capacity."""
@@ -222,7 +222,7 @@
     def _step_limits(self, now: float) -> None:
         if self.limited_sends.is_idle:
             return
-        upstreams = self._belief.catalog.upstreams.values()
+        upstreams = self._local_state.catalog.upstreams.values()
         if self.limited_sends.step(upstreams, now):
             self._key_ranking.clear_rankings()
 
@@ -261,7 +261,7 @@
         if len(usable) < len(ranked) * MIN_USABLE_SHARE:
             # Too many are ejected for all of them to be worse than the rest, so
             # leave out only those that failed recently.
-            usable = [one for one in ranked if now >= one.distrusted_until]
+            usable = [one for one in ranked if now >= one.avoided_until]
         # An upstream that failed recently is better than none.
         usable = usable or ranked
         numbered = [
@@ -277,7 +277,7 @@
 
     def _reachable(self, ranked: list[Upstream]) -> list[Upstream]:
         """Leave out upstreams of unreachable zones, unless none remains."""
-        reach = self._belief.reach
+        reach = self._local_state.reachability
         if reach.is_sound:
             return ranked
         reached = [
@@ -287,7 +287,7 @@
 
     def is_reachable(self, query: UpstreamQuery) -> bool:
         """Return whether any upstream for a request may be reachable."""
-        reach = self._belief.reach
+        reach = self._local_state.reachability
         if reach.is_sound:
             return True
         return reach.may_reach(query.service) and not all(
@@ -297,7 +297,7 @@
     def _is_avoided(self, upstream: Upstream, now: float) -> bool:
         if self._settings.current.uses(Mechanism.ejection):
             return upstream.is_avoided(now)
-        return now < upstream.distrusted_until
+        return now < upstream.avoided_until
 
     def ranked(self, query: UpstreamQuery) -> list[Upstream]:
         """Return the upstreams for a request, the preferred one first."""
@@ -307,10 +307,10 @@
 
     def are_all_closed(self, query: UpstreamQuery) -> bool:
         """Return whether no upstream for a request accepts new requests."""
-        notices = self._belief.notices
+        notices = self._local_state.notices
         ranked = self._key_ranking.ranked(self._ranking_query(query))
         return bool(ranked) and all(
-            notices.standing(one) is Availability.closed for one in ranked
+            notices.availability(one) is Availability.closed for one in ranked
         )
 
     def pause_wait(self, query: UpstreamQuery) -> float | None:
@@ -320,7 +320,7 @@
             The wait in seconds; None if pauses are not the only reason why no
             upstream takes the request.
         """
-        notices = self._belief.notices
+        notices = self._local_state.notices
         if notices.is_idle or self.ranked(query):
             return None
         ranked = self._key_ranking.ranked(self._ranking_query(query))
@@ -341,11 +341,11 @@
 
     def _available(self, ranked: list[Upstream]) -> list[Upstream]:
         """Leave out upstreams that announced that they accept no requests."""
-        notices = self._belief.notices
+        notices = self._local_state.notices
         if notices.is_idle:
             return ranked
         return accepting_upstreams(
-            [(one, notices.standing(one)) for one in ranked]
+            [(one, notices.availability(one)) for one in ranked]
         )
 
     def _transfer_size_of(self, query: UpstreamQuery) -> TransferSize:
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -50,7 +50,7 @@
 )
 from wardstair.gateway.settings import LiveSettings
 from wardstair.gateway.witness import Witness
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import Upstream
 from wardstair.version.organisations import Organisation
 from wardstair.version.steering import SteeredRoute, Steering
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        belief: Belief,
+        local_state: LocalState,
         chooser: Chooser,
         transports: Transports,
         settings: LiveSettings,
@@ -103,7 +103,7 @@
         """Create a forwarder.
 
         Args:
-            belief: State known to this host.
+            local_state: State known to this host.
             chooser: Chooses upstreams.
             transports: The outgoing paths of requests.
             settings: Settings, with the fleet's limit of resends.
@@ -117,14 +117,14 @@
         self._forwardable: set[RequestProgress] = set()
         self._exit_detector = exit_detector
         self._admission = admission
-        self._belief = belief
+        self._local_state = local_state
         self._chooser = chooser
         self._recorder = Learner(
-            belief.catalog,
+            local_state.catalog,
             chooser,
             settings,
             exit_detector,
-            belief.reach,
+            local_state.reachability,
         )
         self._sender = transports.sender
         self._settings = settings
@@ -133,7 +133,7 @@
 
     async def serve(self, inbound: Inbound) -> Reply:
         """Return the reply to a request of a caller."""
-        steering = self._belief.steering
+        steering = self._local_state.steering
         if steering is None:
             return self._refuse(inbound, refusals.STARTING)
         route = steering.find_route(inbound.host, inbound.path)
@@ -161,9 +161,9 @@
         progress = self._begin_peer_request(relayed)
         if progress is None:
             return peer_refusal(refusals.STARTING, relayed, ALL_GROUPS)
-        reach = self._belief.reach
+        reach = self._local_state.reachability
         if reach.looks_silent():
-            reach.begin_doubt('silent')
+            reach.mark_suspect('silent')
         if not self._is_reachable(progress):
             lost = reach.lost or ALL_GROUPS
             return peer_refusal(refusals.UNREACHED, relayed, lost)
@@ -201,7 +201,7 @@
         relayed: RelayedRequest,
     ) -> RequestProgress | None:
         """Start a peer's request; return None if its state is missing here."""
-        steering = self._belief.steering
+        steering = self._local_state.steering
         if steering is None or steering.version < relayed.version:
             return None
         inbound = inbound_of(relayed)
@@ -425,7 +425,7 @@
         if not self._is_known_unreachable(progress):
             placement = self._place_connectable(progress)
         if placement is None:
-            is_failing = self._belief.reach.has_failures
+            is_failing = self._local_state.reachability.has_failures
             if is_failing or progress.history.unreachable:
                 # A network failure of this host may be why none is available.
                 return self._forward_or_give_up(progress)
@@ -473,8 +473,11 @@
         progress.history.unreachable += 1
 
     def _is_reachable(self, progress: RequestProgress) -> bool:
-        return self._belief.reach.is_sound or self._chooser.is_reachable(
-            self._query(progress),
+        return (
+            self._local_state.reachability.is_sound
+            or self._chooser.is_reachable(
+                self._query(progress),
+            )
         )
 
     def _should_prefer_peer(self, progress: RequestProgress) -> bool:
@@ -488,7 +491,7 @@
 
         Probes detect upstreams that become reachable again.
         """
-        is_lost = bool(self._belief.reach.lost)
+        is_lost = bool(self._local_state.reachability.lost)
         return is_lost and not self._is_reachable(progress)
 
     def _should_forward(self, progress: RequestProgress) -> bool:
@@ -628,10 +631,10 @@
         upstream: Upstream,
         reason: ResendReason | None,
     ) -> None:
-        notices = self._belief.notices
+        notices = self._local_state.notices
         if notices.is_idle:
             return
-        standing = notices.standing(upstream)
+        standing = notices.availability(upstream)
         if standing is not Availability.open:
             trigger = reason or FIRST_SEND
             self._reporter.sent_after_notice(
@@ -712,13 +715,13 @@
         progress.is_ended = True
         if refusal.status == refusals.NOT_RUN and not progress.is_from_peer:
             self._admission.give_back(progress.organisation)
-        known = len(self._belief.catalog.of_service(progress.service))
+        known = len(self._local_state.catalog.of_service(progress.service))
         left = progress.until - time.monotonic()
         self._reporter.refused(progress.history, refusal.kind, known, left)
         return refusal.reply(progress.inbound.request_id)
 
     def _refuse(self, inbound: Inbound, refusal: refusals.Refusal) -> Reply:
         """Refuse a request that has no route."""
-        version = self._belief.versions.configuration
+        version = self._local_state.versions.configuration
         self._reporter.unrouted(inbound, refusal.kind, version)
         return refusal.reply(inbound.request_id)
--- a/src/wardstair/gateway/key_ranking.py
+++ b/src/wardstair/gateway/key_ranking.py
@@ -24,7 +24,7 @@
 from wardstair.gateway.moving import RegionMoves
 from wardstair.gateway.settings import LiveSettings
 from wardstair.process.log import log_event
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import Upstream
 from wardstair.version.steering import SteeredRoute
 
@@ -83,15 +83,15 @@
 class KeyRanking:
     """Ranks upstreams for keys; one per process."""
 
-    def __init__(self, settings: LiveSettings, belief: Belief) -> None:
+    def __init__(self, settings: LiveSettings, local_state: LocalState) -> None:
         """Create an empty ranking.
 
         Args:
             settings: Settings of this host.
-            belief: State known to this host.
+            local_state: State known to this host.
         """
         self._settings = settings
-        self._belief = belief
+        self._local_state = local_state
         self._ranked: dict[RankingQuery, list[Upstream]] = {}
         self._proximity: dict[
             tuple[str, frozenset[str], TransferSize], ProximityFactors
@@ -132,8 +132,8 @@
         if not self._settings.current.uses(Mechanism.rebalancing):
             return
         by_service: dict[str, list[Upstream]] = {}
-        for upstream in self._belief.catalog.upstreams.values():
-            is_known = now - upstream.told_at < MAX_LOAD_AGE_SECONDS
+        for upstream in self._local_state.catalog.upstreams.values():
+            is_known = now - upstream.reported_at < MAX_LOAD_AGE_SECONDS
             if upstream.takes_work and is_known:
                 service = upstream.entry.service
                 by_service.setdefault(service, []).append(upstream)
@@ -150,7 +150,7 @@
 
     def _update_region_moves(self) -> None:
         is_new = self._region_moves.follow(
-            self._belief.steering,
+            self._local_state.steering,
             self._service_share,
             self._now,
             self._max_shift_share,
@@ -210,7 +210,7 @@
 
     def _drop_outdated(self) -> None:
         """Drop rankings computed for other upstreams or settings."""
-        generation = self._belief.catalog.generation
+        generation = self._local_state.catalog.generation
         settings = self._settings.current
         if self._generation == generation and self._ranked_settings is settings:
             return
@@ -224,7 +224,9 @@
         changed = rebalanced_weights(
             [
                 UpstreamUtilization(
-                    upstream.name, upstream.relief, upstream.crowding
+                    upstream.name,
+                    upstream.rebalance_factor,
+                    upstream.utilization,
                 )
                 for upstream in upstreams
             ]
@@ -235,18 +237,18 @@
                 'upstream-relieved',
                 upstream=name,
                 service=upstream.entry.service,
-                crowding=round(upstream.crowding, 2),
+                crowding=round(upstream.utilization, 2),
                 weight=round(weight, 3),
-                before=round(upstream.relief, 3),
+                before=round(upstream.rebalance_factor, 3),
             )
-            upstream.relief = weight
+            upstream.rebalance_factor = weight
         if changed:
             self._ranked.clear()
 
     def _permitted(self, query: RankingQuery) -> list[Upstream]:
         return [
             upstream
-            for upstream in self._belief.catalog.of_service(query.service)
+            for upstream in self._local_state.catalog.of_service(query.service)
             if self._is_permitted(query.regions, upstream)
         ]
 
@@ -274,8 +276,8 @@
             WeightedUpstream(
                 name,
                 upstream.entry.slots
-                * upstream.relief
-                * upstream.drawn
+                * upstream.rebalance_factor
+                * upstream.weight_factor
                 * self._proximity_factor(upstream, factors),
             )
             for name, upstream in by_name.items()
@@ -288,7 +290,7 @@
         upstream: Upstream,
     ) -> bool:
         zone = upstream.entry.zone
-        if zone in self._belief.evacuated:
+        if zone in self._local_state.evacuated:
             return False
         if not regions:
             return True
--- a/src/wardstair/gateway/sending.py
+++ b/src/wardstair/gateway/sending.py
@@ -28,7 +28,7 @@
     encode_upstream,
 )
 from wardstair.process.log import log_event
-from wardstair.state.belief import Belief
+from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import RunningSend, Upstream
 
 _MISDIRECTED = 421
@@ -121,18 +121,18 @@
         self,
         pool: UpstreamPool,
         distances: Distances,
-        belief: Belief,
+        local_state: LocalState,
     ) -> None:
         """Create a sender.
 
         Args:
             pool: Connections to upstreams.
             distances: Records the time that it takes to open a connection.
-            belief: State known to this host. Supplies the availability of
+            local_state: State known to this host. Supplies the availability of
                 upstreams, and records which of them answer and what their
                 answers report.
         """
-        self._belief = belief
+        self._local_state = local_state
         self._pool = pool
         self._distances = distances
         self._numbers = count()
@@ -146,7 +146,7 @@
             upstream: The upstream.
             is_once: Whether the request may run only once.
         """
-        return self._belief.reach.may_open(
+        return self._local_state.reachability.may_open(
             upstream.entry,
         ) or self._pool.has_resting(upstream.name, is_once=is_once)
 
@@ -215,7 +215,7 @@
             return NotSent('time is up')
         # An answer received while the connection was opened may have announced
         # a pause or the end of the upstream.
-        if self._belief.notices.standing(upstream) in _UNAVAILABLE:
+        if self._local_state.notices.availability(upstream) in _UNAVAILABLE:
             self._pool.give_back(upstream.name, connection)
             return Withheld()
         head = _encode_head(inbound, upstream, until - started)
@@ -273,20 +273,20 @@
         It may have been removed, or its zone evacuated, while the connection
         was opened.
         """
-        is_evacuated = upstream.entry.zone in self._belief.evacuated
+        is_evacuated = upstream.entry.zone in self._local_state.evacuated
         return is_evacuated or not upstream.takes_work
 
     def _record_answered(self, upstream: Upstream, *, is_new: bool) -> None:
         """Record an answer received on a connection."""
-        self._belief.reach.note_reached(upstream.entry)
+        self._local_state.reachability.note_reached(upstream.entry)
         if is_new:
-            self._belief.reach.note_opened(upstream.entry)
+            self._local_state.reachability.note_opened(upstream.entry)
 
     def _record_failed(self, upstream: Upstream, *, is_new: bool) -> None:
         """Record a connection that failed to open or ended in an exchange."""
-        self._belief.reach.note_failed(upstream.entry)
+        self._local_state.reachability.note_failed(upstream.entry)
         if is_new:
-            self._belief.reach.note_unopened(upstream.entry)
+            self._local_state.reachability.note_unopened(upstream.entry)
 
     def _record_reported(
         self,
@@ -295,11 +295,11 @@
         fields: UpstreamFields,
     ) -> None:
         """Record what an upstream reports about itself in an answer."""
-        self._belief.limits.note(upstream, fields.limit)
+        self._local_state.limits.note(upstream, fields.limit)
         if fields.is_leaving:
-            self._belief.notices.note_leaving(upstream)
+            self._local_state.notices.note_leaving(upstream)
         if status in _PAUSE_STATUSES and fields.retry_after is not None:
-            self._belief.notices.note_pause(upstream, fields.retry_after)
+            self._local_state.notices.note_pause(upstream, fields.retry_after)
 
     async def _connection(
         self,
@@ -310,7 +310,7 @@
     ) -> UpstreamConnection | ConnectFailed | None:
         """Return a connection; None if none is idle and new ones fail."""
         entry = upstream.entry
-        may_open = self._belief.reach.may_open(entry)
+        may_open = self._local_state.reachability.may_open(entry)
         if not (is_fresh and may_open):
             connection = self._pool.borrow(upstream.name, is_once=is_once)
             if connection is not None:
--- a/tests/unit/test_entry_expiry.py
+++ b/tests/unit/test_entry_expiry.py
@@ -56,7 +56,7 @@
 
 def contact_at(clock: Clock) -> StoreContact:
     contact = StoreContact(clock, Random(1))
-    contact.harmless_seconds = lambda: HARMLESS_SECONDS
+    contact.tolerated_outage_seconds = lambda: HARMLESS_SECONDS
     return contact
 
 
@@ -78,7 +78,7 @@
     for gap in gaps:
         clock.now += gap
         contact.note_success()
-    assert contact.span == ContactPeriod(clock.now - held, clock.now)
+    assert contact.contact_period == ContactPeriod(clock.now - held, clock.now)
 
 
 def test_a_contact_period_restarts_after_a_failure() -> None:
@@ -86,10 +86,10 @@
     contact = contact_at(clock)
     contact.note_success()
     contact.note_failure('test')
-    assert contact.span is None
+    assert contact.contact_period is None
     clock.now += 1
     contact.note_success()
-    assert contact.span == ContactPeriod(clock.now, clock.now)
+    assert contact.contact_period == ContactPeriod(clock.now, clock.now)
 
 
 @pytest.mark.parametrize('is_heard', [True, False])
@@ -111,9 +111,9 @@
         read = decode_beat(encode_beat(beat))
         assert read == beat
         members.hear(read)
-    assert contact.was_away_lately is not is_heard
+    assert contact.was_lost_recently is not is_heard
     clock.now += RETURN_SECONDS
-    assert not contact.was_away_lately
+    assert not contact.was_lost_recently
 
 
 @pytest.mark.parametrize(
@@ -134,7 +134,7 @@
     contact.note_failure('reset')
     clock.now += away_seconds
     contact.note_success()
-    assert contact.was_away_lately is may_have_expired
+    assert contact.was_lost_recently is may_have_expired
 
 
 def test_a_short_reset_does_not_end_the_wait_after_an_outage() -> None:
@@ -148,6 +148,6 @@
     contact.note_failure('reset')
     clock.now += RETURN_SECONDS / 4
     contact.note_success()
-    assert contact.was_away_lately
+    assert contact.was_lost_recently
     clock.now += RETURN_SECONDS / 2
-    assert not contact.was_away_lately
+    assert not contact.was_lost_recently
--- a/tests/unit/test_key_ranking.py
+++ b/tests/unit/test_key_ranking.py
@@ -18,8 +18,8 @@
     TransferSize,
 )
 from wardstair.gateway.settings import LiveSettings
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
+from wardstair.state.local_state import LocalState
 
 REGIONS = {
     'north-a': 'north',
@@ -40,25 +40,27 @@
 
     def __init__(self, *switched_off: Mechanism) -> None:
         self.clock = Clock()
-        self.belief = Belief(self.clock, Catalog(self.clock))
+        self.local_state = LocalState(self.clock, Catalog(self.clock))
         settings = replace(
             gateway_settings(1),
             zones=REGIONS,
             switched_off=frozenset(switched_off),
         )
         self.live_settings = LiveSettings(settings)
-        self.ranking = KeyRanking(self.live_settings, self.belief)
+        self.ranking = KeyRanking(self.live_settings, self.local_state)
         entries = [
             replace(ENTRY, name=f'i-{number}', zone=ZONES[number % 4])
             for number in range(12)
         ]
-        self.belief.catalog.replace_all(entries, at(1), store_was_away=False)
+        self.local_state.catalog.replace_all(
+            entries, at(1), store_was_away=False
+        )
 
     def report_loads(self, load_of: Callable[[str], int], seconds: int) -> None:
         """Let all upstreams report their load every second for some seconds."""
         for _ in range(seconds):
             self.clock.now += WEIGHT_STEP_SECONDS
-            for upstream in self.belief.catalog.upstreams.values():
+            for upstream in self.local_state.catalog.upstreams.values():
                 upstream.note_load(load_of(upstream.name), self.clock.now)
             self.ranking.step(self.clock.now)
 
@@ -74,7 +76,7 @@
 
     def local_share(self) -> float:
         """Return the share of keys that prefer an upstream of the region."""
-        upstreams = self.belief.catalog.upstreams
+        upstreams = self.local_state.catalog.upstreams
         preferred = [self.ranked(key)[0] for key in KEYS]
         near = [
             name
@@ -110,13 +112,13 @@
     after = [fleet.ranked(key)[0] for key in KEYS]
     moved = {old for old, new in zip(before, after, strict=True) if old != new}
     assert moved == ({'i-0'} if is_on else set())
-    weight = fleet.belief.catalog.upstreams['i-0'].relief
+    weight = fleet.local_state.catalog.upstreams['i-0'].rebalance_factor
     assert (weight < 1 - WEIGHT_STEP) is is_on
 
 
 def test_only_permitted_regions_are_ranked() -> None:
     fleet = Fleet()
-    upstreams = fleet.belief.catalog.upstreams
+    upstreams = fleet.local_state.catalog.upstreams
     ranked = fleet.ranked('key', regions=frozenset(('south',)))
     zones = {upstreams[name].entry.zone for name in ranked}
     assert zones == {'south-a'}
--- a/tests/unit/test_notices.py
+++ b/tests/unit/test_notices.py
@@ -17,7 +17,7 @@
 )
 from wardstair.platform.headers import decode_upstream
 from wardstair.state.notices import (
-    MOST_PAUSE_SECONDS,
+    MAX_PAUSE_SECONDS,
     REMEMBERED_SECONDS,
     NoticeTable,
 )
@@ -197,13 +197,13 @@
         pytest.param([(0.0, 0.0)], 0.0, Availability.open, id='none'),
         pytest.param(
             [(0.0, float('inf'))],
-            MOST_PAUSE_SECONDS - 1,
+            MAX_PAUSE_SECONDS - 1,
             Availability.paused,
             id='huge',
         ),
         pytest.param(
             [(0.0, float('inf'))],
-            MOST_PAUSE_SECONDS,
+            MAX_PAUSE_SECONDS,
             Availability.open,
             id='bounded',
         ),
@@ -221,7 +221,7 @@
         clock.now = began + asked_at
         table.note_pause(upstream_of(), seconds)
     clock.now = began + at
-    assert table.standing(upstream_of()) is availability
+    assert table.availability(upstream_of()) is availability
 
 
 def test_leaving_notice_applies_to_its_incarnation() -> None:
@@ -234,8 +234,8 @@
     table.note_pause(upstream_of(), 1)
     assert table.notice_of(upstream_of()).leaving_since == first
     clock.now += 2
-    assert table.standing(upstream_of()) is Availability.closed
-    assert table.standing(upstream_of(born=2)) is Availability.open
+    assert table.availability(upstream_of()) is Availability.closed
+    assert table.availability(upstream_of(born=2)) is Availability.open
 
 
 def test_late_answer_of_earlier_incarnation_is_ignored() -> None:
@@ -253,7 +253,7 @@
     table.note_pause(upstream_of(), 3)
     clock.now += 2
     table.forget(())
-    assert table.standing(upstream_of()) is Availability.paused
+    assert table.availability(upstream_of()) is Availability.paused
     clock.now += 1
     table.forget([ENTRY.name])
     assert table.is_idle
@@ -265,9 +265,9 @@
     table.note_leaving(upstream_of())
     clock.now += REMEMBERED_SECONDS - 1
     table.forget(())
-    assert table.standing(upstream_of()) is Availability.closed
+    assert table.availability(upstream_of()) is Availability.closed
     clock.now += 2
     table.forget([ENTRY.name])
-    assert table.standing(upstream_of()) is Availability.closed
+    assert table.availability(upstream_of()) is Availability.closed
     table.forget(())
     assert table.is_idle
--- a/tests/unit/test_reach.py
+++ b/tests/unit/test_reach.py
@@ -15,7 +15,7 @@
 )
 from wardstair.state.catalog import Catalog
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
-from wardstair.state.reach import ReachTable
+from wardstair.state.reachability import ReachabilityTable
 from wardstair.state.upstream import RunningSend
 
 # Upstreams of two zones and two services: `v` and `o` in each zone.
@@ -51,7 +51,7 @@
         self.catalog = Catalog(lambda: self.now)
         entries = [entry_of(name, *place) for name, place in PLACES.items()]
         self.catalog.replace_all(entries, at(1), store_was_away=False)
-        self.reach = ReachTable(self.catalog)
+        self.reach = ReachabilityTable(self.catalog)
         self.reach.times = lambda: probe_times(4.0)
         self.reach.on_change = lambda: self.changes.append(self.reach.lost)
         self.reach.on_regained = self.regained.append
@@ -140,7 +140,7 @@
         store_was_away=False,
     )
     host.reach.refresh()
-    assert host.reach.is_sound or host.reach.is_doubted
+    assert host.reach.is_sound or host.reach.is_suspect
 
 
 @pytest.mark.parametrize(
@@ -282,7 +282,7 @@
 def test_open_connections_do_not_affect_new_ones() -> None:
     host = Host()
     suspected_at = []
-    host.reach.on_opening_doubt = lambda: suspected_at.append(host.now)
+    host.reach.on_opening_suspect = lambda: suspected_at.append(host.now)
     for name in ('v0-north', 'o0-south', 'v1-south'):
         host.reach.note_unopened(host.entry(name))
         host.answer('v0-north', 'o1-south')
--- a/tests/unit/test_region_moves.py
+++ b/tests/unit/test_region_moves.py
@@ -22,9 +22,9 @@
 from wardstair.gateway.moving import RegionMoves
 from wardstair.gateway.settings import Bounds, LiveSettings
 from wardstair.platform.objects import Metadata, StoredObject
-from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
+from wardstair.state.local_state import LocalState
 from wardstair.version.steering import SteeredRoute
 
 MAX_MOVED_SHARE = 0.15
@@ -50,12 +50,12 @@
 
     def __init__(self, name: str) -> None:
         self.clock = Clock()
-        self.belief = Belief(self.clock, Catalog(self.clock))
+        self.local_state = LocalState(self.clock, Catalog(self.clock))
         own = gateway_settings(1, bounds=Bounds(shift_share=MAX_MOVED_SHARE))
         self.live_settings = LiveSettings(
             replace(own, zone=f'{name}-a', zones=ZONES)
         )
-        self.ranking = KeyRanking(self.live_settings, self.belief)
+        self.ranking = KeyRanking(self.live_settings, self.local_state)
         self.version = 0
         self.steer(WEIGHTS)
         self.entries = [
@@ -82,7 +82,7 @@
             metadata=Metadata(name='main', revision=self.version),
             spec=configuration_spec(self.version, read=route),
         )
-        assert self.belief.offer_configuration(stored, 'test')
+        assert self.local_state.offer_configuration(stored, 'test')
 
     def wait(self, seconds: float) -> None:
         """Advance the clock."""
@@ -91,14 +91,14 @@
 
     def adopt(self, entries: list[UpstreamEntry]) -> None:
         """Replace the entries of the catalog."""
-        revision = self.belief.catalog.revision.number + 1
-        catalog = self.belief.catalog
+        revision = self.local_state.catalog.revision.number + 1
+        catalog = self.local_state.catalog
         catalog.replace_all(entries, at(revision), store_was_away=False)
 
     def shares(self) -> dict[str, float]:
         """Return the share of the requests that is sent to each region."""
         self.ranking.step(self.clock.now)
-        steering = self.belief.steering
+        steering = self.local_state.steering
         assert steering is not None
         route = steering.routes[0]
         weights = [(one.service, one.weight) for one in route.shares]
@@ -138,7 +138,7 @@
     """Report a fifth of the upstreams as overloaded for two steps."""
     for _ in range(2):
         region.clock.now += WEIGHT_STEP_SECONDS
-        for n, one in enumerate(region.belief.catalog.upstreams.values()):
+        for n, one in enumerate(region.local_state.catalog.upstreams.values()):
             load = one.entry.slots * (2 if n % 5 == 0 else 0.3)
             one.note_load(int(load), region.clock.now)
         region.ranking.step(region.clock.now)
@@ -215,7 +215,7 @@
 def test_the_move_of_a_route_that_is_no_longer_queried_ends() -> None:
     """A move in progress makes the keys of moving routes be ranked again."""
     region = Region('west')
-    steering = region.belief.steering
+    steering = region.local_state.steering
     moves = RegionMoves()
     shares = {'views': 0.5, 'orders': 0.1}
 
@@ -224,7 +224,7 @@
 
     moves.follow(steering, share_of, 0, MAX_MOVED_SHARE)
     region.steer({'views': 0.1, 'orders': 0.9})
-    moves.follow(region.belief.steering, share_of, 0, MAX_MOVED_SHARE)
+    moves.follow(region.local_state.steering, share_of, 0, MAX_MOVED_SHARE)
     assert moves.are_under_way(1, MAX_MOVED_SHARE)
     # The offset of the route is not queried from here on.
     assert not moves.are_under_way(60, MAX_MOVED_SHARE)
--- a/tests/unit/test_sentinels.py
+++ b/tests/unit/test_sentinels.py
@@ -106,10 +106,10 @@
     contact = StoreContact(lambda: 100.0, Random(1))
     contact.note_success()
     states: list[tuple[bool, bool]] = []
-    contact.on_doubt = lambda: states.append(
-        (contact.is_doubted, contact.is_lost)
+    contact.on_suspect = lambda: states.append(
+        (contact.is_suspect, contact.is_lost)
     )
-    contact.note_doubt()
-    contact.note_doubt()
+    contact.note_late_watch()
+    contact.note_late_watch()
     ends(contact)
     assert states == [(True, False), (False, is_lost)]
--- a/tests/unit/test_state_age.py
+++ b/tests/unit/test_state_age.py
@@ -61,10 +61,10 @@
     clock = Clock()
     age = StateAge(clock, KINDS)
     age.note_read('config', Revision(1, 7), clock.now)
-    assert age.told is None
+    assert age.reportable is None
     age.note_read('evacuations', Revision(1, 7), clock.now)
     age.note_read('servers', Revision(1, 7), clock.now)
-    assert age.told == ReportedAge(0.0, 0)
+    assert age.reportable == ReportedAge(0.0, 0)
 
 
 @pytest.mark.parametrize(
@@ -100,9 +100,9 @@
     clock = Clock()
     age = known_age(clock)
     clock.now += 10.0
-    age.look(10.0)
+    age.tick(10.0)
     clock.now += unseen
-    age.note_told(ReportedAge(0.5, 0))
+    age.note_reported(ReportedAge(0.5, 0))
     assert age.seconds == pytest.approx(expected)
 
 
@@ -112,7 +112,7 @@
     clock.now += 10.0
     asked_at = clock.now
     clock.now += 1.8
-    age.note_told(ReportedAge(0.5, 0), asked_at)
+    age.note_reported(ReportedAge(0.5, 0), asked_at)
     assert age.seconds == pytest.approx(2.3)
 
 
@@ -123,11 +123,11 @@
     for _ in range(100):
         for sender, receiver in ((one, other), (other, one)):
             clock.now += 0.05
-            sender.look(0.05)
-            receiver.look(0.05)
-            reported = sender.told
+            sender.tick(0.05)
+            receiver.tick(0.05)
+            reported = sender.reportable
             assert reported is not None
-            receiver.note_told(
+            receiver.note_reported(
                 replace(reported, seconds=reported.seconds - 0.08)
             )
     assert one.seconds == pytest.approx(10.0 - 0.08 * MAX_HOPS)
@@ -136,7 +136,7 @@
 def test_report_of_an_older_state_is_ignored() -> None:
     clock = Clock()
     age = known_age(clock)
-    age.note_told(ReportedAge(60.0, 0))
+    age.note_reported(ReportedAge(60.0, 0))
     assert age.seconds == 0.0
 
 
--- a/tests/unit/test_suspects.py
+++ b/tests/unit/test_suspects.py
@@ -1,4 +1,4 @@
-"""The table of requests that ended upstreams: time, room, clocks, others."""
+"""The table of suspect requests: expiry, capacity, clock skew, merging."""
 
 from collections.abc import Mapping
 
@@ -18,8 +18,8 @@
 )
 from wardstair.state.suspects import (
     HELD_SECONDS,
-    MOST_LIVES,
-    MOST_RECORDS,
+    MAX_INCARNATIONS,
+    MAX_RECORDS,
     SUSPECT_SECONDS,
     SuspectTable,
 )
@@ -27,8 +27,8 @@
 START = 1_800_000_000
 
 
-class Day:
-    """A table in a time that moves by hand."""
+class SuspectHost:
+    """A table with a clock that the test sets."""
 
     def __init__(self) -> None:
         self.now = float(START)
@@ -38,9 +38,9 @@
     def note(self) -> None:
         self.changes += 1
 
-    def end(self, request: str, *lives: str) -> None:
-        for life in lives:
-            self.table.note_ended((request,), life)
+    def end(self, request: str, *incarnations: str) -> None:
+        for incarnation in incarnations:
+            self.table.note_ended((request,), incarnation)
 
 
 def content(number: int) -> str:
@@ -51,8 +51,8 @@
 A = content(1)
 
 
-def told(records: Mapping[str, Evidence]) -> dict[str, Evidence]:
-    """Return records as another host gets them."""
+def sent(records: Mapping[str, Evidence]) -> dict[str, Evidence]:
+    """Return records as another host receives them."""
     encoded = StateEncoder().encode(SharedState(suspects=records))
     decoded = decode_state(encoded)
     assert decoded is not None
@@ -60,7 +60,7 @@
 
 
 def stored(records: Mapping[str, Evidence]) -> dict[str, Evidence]:
-    """Return records as the store gives them back."""
+    """Return records as they are read back from the store."""
     document = encode_suspects(records, 7)
     read = StoredObject(metadata=Metadata(name='all'), spec=document['spec'])
     decoded = decode_suspects(read)
@@ -68,132 +68,135 @@
     return decoded
 
 
-@pytest.mark.parametrize('way', [told, stored])
-def test_what_three_hosts_saw_adds_up_over_each_way(way: object) -> None:
-    assert callable(way)
-    hosts = [Day() for _ in range(3)]
+@pytest.mark.parametrize('path', [sent, stored])
+def test_evidence_of_three_hosts_is_merged_over_each_path(path: object) -> None:
+    assert callable(path)
+    hosts = [SuspectHost() for _ in range(3)]
     for number, host in enumerate(hosts):
         host.end(A, f'u{number}@1')
         assert not host.table.held
     for host in hosts:
         for other in hosts:
-            host.table.take_in(way(other.table.records))
+            host.table.add_evidence(path(other.table.records))
     assert all(host.table.held == {A} for host in hosts)
     assert len({host.table.digest for host in hosts}) == 1
-    # Told again it is no news, which would go round for ever.
-    assert not hosts[0].table.take_in(way(hosts[1].table.records))
+    # Known evidence counts as no change; otherwise hosts would announce it to
+    # each other endlessly.
+    assert not hosts[0].table.add_evidence(path(hosts[1].table.records))
 
 
 @pytest.mark.parametrize(
-    ('lives', 'seconds', 'is_kept'),
+    ('incarnations', 'seconds', 'is_kept'),
     [
-        pytest.param(3, HELD_SECONDS - 1, True, id='comes again after minutes'),
-        pytest.param(3, HELD_SECONDS, False, id='its time is over'),
-        pytest.param(2, SUSPECT_SECONDS - 1, True, id='suspected'),
-        pytest.param(2, SUSPECT_SECONDS, False, id='no longer suspected'),
+        pytest.param(3, HELD_SECONDS - 1, True, id='held'),
+        pytest.param(3, HELD_SECONDS, False, id='no longer held'),
+        pytest.param(2, SUSPECT_SECONDS - 1, True, id='suspect'),
+        pytest.param(2, SUSPECT_SECONDS, False, id='no longer suspect'),
     ],
 )
-def test_what_is_known_ends(lives: int, seconds: int, is_kept: bool) -> None:
-    day = Day()
-    day.end(A, *(f'u{number}@1' for number in range(lives)))
-    day.now += seconds
-    day.table.expire()
-    assert (A in day.table.records) is is_kept
-    assert bool(day.table.held) is (is_kept and lives >= 3)
-    assert bool(day.table.digest) is is_kept
+def test_records_expire(incarnations: int, seconds: int, is_kept: bool) -> None:
+    host = SuspectHost()
+    host.end(A, *(f'u{number}@1' for number in range(incarnations)))
+    host.now += seconds
+    host.table.expire()
+    assert (A in host.table.records) is is_kept
+    assert bool(host.table.held) is (is_kept and incarnations >= 3)
+    assert bool(host.table.digest) is is_kept
 
 
 @pytest.mark.parametrize('seconds', [0, SUSPECT_SECONDS + 60])
-def test_a_host_that_starts_minutes_later_is_told(seconds: int) -> None:
-    day, newcomer = Day(), Day()
-    day.end(A, 'u1@1', 'u2@1', 'u3@1')
+def test_a_host_that_starts_minutes_later_receives_records(
+    seconds: int,
+) -> None:
+    host, newcomer = SuspectHost(), SuspectHost()
+    host.end(A, 'u1@1', 'u2@1', 'u3@1')
     newcomer.now += seconds
-    newcomer.table.take_in(told(day.table.records))
+    newcomer.table.add_evidence(sent(host.table.records))
     assert newcomer.table.held == {A}
     newcomer.now = START + HELD_SECONDS
     newcomer.table.expire()
-    # What is too old does not come back.
-    assert not newcomer.table.take_in(told(day.table.records))
+    # Expired evidence is not added again.
+    assert not newcomer.table.add_evidence(sent(host.table.records))
 
 
-def test_an_end_renews_what_is_known() -> None:
-    day = Day()
-    day.end(A, 'u1@1', 'u2@1')
-    day.now += SUSPECT_SECONDS - 1
-    day.end(A, 'u3@1')
-    assert day.table.held == {A}
-    assert day.table.seconds_left(A) == HELD_SECONDS
+def test_another_exit_renews_a_record() -> None:
+    host = SuspectHost()
+    host.end(A, 'u1@1', 'u2@1')
+    host.now += SUSPECT_SECONDS - 1
+    host.end(A, 'u3@1')
+    assert host.table.held == {A}
+    assert host.table.seconds_left(A) == HELD_SECONDS
 
 
-def test_a_clock_that_is_ahead_holds_nobody_for_longer() -> None:
-    ahead = Day()
+def test_a_clock_that_is_ahead_does_not_extend_holding() -> None:
+    ahead = SuspectHost()
     ahead.now += 10 * HELD_SECONDS
     ahead.end(A, 'u1@1', 'u2@1', 'u3@1')
-    day = Day()
-    day.table.take_in(ahead.table.records)
-    assert day.table.held == {A}
-    assert day.table.seconds_left(A) <= HELD_SECONDS
-    day.now += HELD_SECONDS
-    day.table.expire()
-    assert not day.table.records
-
-
-def test_a_caller_that_draws_ever_new_requests_takes_bounded_room() -> None:
-    day = Day()
-    day.end(A, 'u1@1', 'u2@1', 'u3@1')
-    for number in range(MOST_RECORDS + 50):
-        day.end(content(1000 + number), 'u4@1')
-        assert len(day.table.records) <= MOST_RECORDS
-    # Those with the fewest lives go first.
-    assert day.table.held == {A}
-
-
-def test_lives_of_one_request_take_bounded_room() -> None:
-    day = Day()
-    day.end(A, *(f'u{number}@1' for number in range(MOST_LIVES * 2)))
-    for number in range(MOST_LIVES * 2):
-        day.table.note_answered(A, f'v{number}@1')
-    known = day.table.records[A]
-    assert len(known.ended) == MOST_LIVES
-    assert len(known.answered) == MOST_LIVES
-
-
-def test_an_operator_lifts_it_for_all() -> None:
-    day, other = Day(), Day()
-    day.end(A, 'u1@1', 'u2@1', 'u3@1')
-    other.table.take_in(day.table.records)
-    assert not day.table.lift(content(2))
-    assert day.table.lift(A)
-    assert not day.table.held
-    # A host that has not heard of it does not bring it back.
-    day.table.take_in(other.table.records)
-    assert not day.table.held
-    other.table.take_in(told(day.table.records))
+    host = SuspectHost()
+    host.table.add_evidence(ahead.table.records)
+    assert host.table.held == {A}
+    assert host.table.seconds_left(A) <= HELD_SECONDS
+    host.now += HELD_SECONDS
+    host.table.expire()
+    assert not host.table.records
+
+
+def test_ever_new_requests_use_bounded_capacity() -> None:
+    host = SuspectHost()
+    host.end(A, 'u1@1', 'u2@1', 'u3@1')
+    for number in range(MAX_RECORDS + 50):
+        host.end(content(1000 + number), 'u4@1')
+        assert len(host.table.records) <= MAX_RECORDS
+    # Records with the fewest incarnations are dropped first.
+    assert host.table.held == {A}
+
+
+def test_incarnations_of_one_request_use_bounded_capacity() -> None:
+    host = SuspectHost()
+    host.end(A, *(f'u{number}@1' for number in range(MAX_INCARNATIONS * 2)))
+    for number in range(MAX_INCARNATIONS * 2):
+        host.table.note_answered(A, f'v{number}@1')
+    known = host.table.records[A]
+    assert len(known.ended) == MAX_INCARNATIONS
+    assert len(known.answered) == MAX_INCARNATIONS
+
+
+def test_lifting_a_request_applies_to_all_hosts() -> None:
+    host, other = SuspectHost(), SuspectHost()
+    host.end(A, 'u1@1', 'u2@1', 'u3@1')
+    other.table.add_evidence(host.table.records)
+    assert not host.table.lift(content(2))
+    assert host.table.lift(A)
+    assert not host.table.held
+    # Evidence of a host that has not received the lift does not restore it.
+    host.table.add_evidence(other.table.records)
+    assert not host.table.held
+    other.table.add_evidence(sent(host.table.records))
     assert not other.table.held
-    # It is held again if it goes on.
-    day.now += 1
-    day.end(A, 'u4@1', 'u5@1', 'u6@1')
-    assert day.table.held == {A}
+    # The request is held again after further exits.
+    host.now += 1
+    host.end(A, 'u4@1', 'u5@1', 'u6@1')
+    assert host.table.held == {A}
 
 
-def test_each_life_that_ended_is_told_once() -> None:
-    day, other = Day(), Day()
-    told_lives: list[str] = []
-    other.table.on_ended = told_lives.append
-    day.end(A, 'u1@1')
-    other.table.take_in(told(day.table.records))
-    other.table.take_in(told(day.table.records))
-    day.end(A, 'u2@1')
-    other.table.take_in(told(day.table.records))
-    assert told_lives == ['u1@1', 'u2@1']
+def test_each_ended_incarnation_is_reported_once() -> None:
+    host, other = SuspectHost(), SuspectHost()
+    reported: list[str] = []
+    other.table.on_ended = reported.append
+    host.end(A, 'u1@1')
+    other.table.add_evidence(sent(host.table.records))
+    other.table.add_evidence(sent(host.table.records))
+    host.end(A, 'u2@1')
+    other.table.add_evidence(sent(host.table.records))
+    assert reported == ['u1@1', 'u2@1']
 
 
-def test_one_life_of_one_request_is_not_worth_a_write() -> None:
-    day = Day()
-    day.end(A, 'u1@1')
-    assert not day.table.shared
-    day.end(A, 'u2@1')
-    assert set(day.table.shared) == {A}
+def test_a_request_with_a_single_incarnation_is_not_stored() -> None:
+    host = SuspectHost()
+    host.end(A, 'u1@1')
+    assert not host.table.shared
+    host.end(A, 'u2@1')
+    assert set(host.table.shared) == {A}
 
 
 @pytest.mark.parametrize(
@@ -204,7 +207,7 @@
         {'requests': []},
         {'requests': {A: {'ended': ['u1']}}},
         {'requests': {A: {'ended': {'u1': 'soon'}}}},
-        # Names that no host gives a request, and times that are none.
+        # Invalid digests of requests and invalid times.
         {'requests': {'a': {'ended': {'u1@1': 1}}}},
         {'requests': {'Z' * 16: {'ended': {'u1@1': 1}}}},
         {'requests': {A: {'ended': {'u1@1': -1}}}},
@@ -212,6 +215,6 @@
         {'requests': {A: {'ended': {'u1@1': 1}, 'lifted_at': 10**12}}},
     ],
 )
-def test_an_object_that_cannot_be_read_tells_nothing(spec: object) -> None:
+def test_an_invalid_object_is_not_decoded(spec: object) -> None:
     read = StoredObject(metadata=Metadata(name='all'), spec=spec)
     assert decode_suspects(read) is None
