--- a/src/wardstair/gateway/telling.py
+++ b/src/wardstair/gateway/announcing.py
@@ -5,24 +5,24 @@
 
 # How long a host waits for more before it tells: requests that end an upstream
 # are broken off together, and upstreams in need come in series.
-TELL_SECONDS = 0.1
+ANNOUNCE_DELAY_SECONDS = 0.1
 
 
-class NewsTeller:
+class ChangeAnnouncer:
     """Sends heartbeats to everybody a moment after there are news."""
 
     def __init__(
         self,
-        tell: Callable[[], None],
+        announce: Callable[[], None],
         least_seconds: float = 0.0,
     ) -> None:
         """Prepare with nothing to tell.
 
         Args:
-            tell: Sends heartbeats to everybody who should have one.
+            announce: Sends heartbeats to everybody who should have one.
             least_seconds: The least time from one telling to the next.
         """
-        self.tell = tell
+        self.announce = announce
         self._least_seconds = least_seconds
         self._told_at = float('-inf')
         self._telling: asyncio.TimerHandle | None = None
@@ -33,7 +33,7 @@
             return
         loop = asyncio.get_running_loop()
         due = max(
-            loop.time() + TELL_SECONDS,
+            loop.time() + ANNOUNCE_DELAY_SECONDS,
             self._told_at + self._least_seconds,
         )
         self._telling = loop.call_at(due, self._tell)
@@ -46,4 +46,4 @@
     def _tell(self) -> None:
         self._telling = None
         self._told_at = asyncio.get_running_loop().time()
-        self.tell()
+        self.announce()
--- a/src/wardstair/gateway/choosing.py
+++ b/src/wardstair/gateway/choosing.py
@@ -30,7 +30,7 @@
 from wardstair.gateway.cold_sends import ColdSends
 from wardstair.gateway.distances import Distances
 from wardstair.gateway.homes import Haul, Homes, KeyAsk
-from wardstair.gateway.limited_sends import MOST_WAIT_SECONDS, LimitedSends
+from wardstair.gateway.limited_sends import MAX_WAIT_SECONDS, LimitedSends
 from wardstair.gateway.settings import LiveSettings
 from wardstair.gateway.splitting import Splits
 from wardstair.process.log import log_event
@@ -173,7 +173,7 @@
         Where a service states no rate for cold upstreams they get nothing, so
         there it would only take the upstream out.
         """
-        if not self.cold_sends.is_bounded(upstream.entry.service):
+        if not self.cold_sends.has_cold_rate(upstream.entry.service):
             return
         if not upstream.is_cold(now):
             self.assumed_cold[reason] += 1
@@ -237,7 +237,7 @@
             return ranked
         if not ask.tried:
             limited.note_first_choice(ranked[0])
-        return [one for one in ranked if limited.are_due(one, now)]
+        return [one for one in ranked if limited.may_send(one, now)]
 
     def _groups(self, ask: Ask, now: float) -> list[list[tuple[int, Upstream]]]:
         """Return upstreams with their ranks, in groups to be looked at.
@@ -248,7 +248,7 @@
             upstream
             for upstream in self._within_limits(self.ranked(ask), ask, now)
             if not upstream.is_cold(now)
-            or self.cold_sends.are_due(upstream, now)
+            or self.cold_sends.may_send(upstream, now)
         ]
         ranked = self._within_reach(ranked)
         usable = [one for one in ranked if not self._avoids(one, now)]
@@ -317,7 +317,7 @@
         left = shortest_pause(map(notices.notice_of, ranked), time.monotonic())
         if left is None:
             return None
-        return min(return_after(left), MOST_WAIT_SECONDS)
+        return min(return_after(left), MAX_WAIT_SECONDS)
 
     def _key_ask(self, ask: Ask) -> KeyAsk:
         name = ask.route.name
--- a/src/wardstair/gateway/cold_sends.py
+++ b/src/wardstair/gateway/cold_sends.py
@@ -38,7 +38,7 @@
         # The rate that the log told last, by upstream.
         self._told: dict[str, float] = {}
 
-    def are_due(self, upstream: Upstream, now: float) -> bool:
+    def may_send(self, upstream: Upstream, now: float) -> bool:
         """Return whether a cold upstream bears a request from here now."""
         is_due = self._pace_of(upstream).is_due(now)
         return is_due and self._rate(upstream) > 0
@@ -53,7 +53,7 @@
             self._told[upstream.name] = rate
             self._tell(upstream, rate, now)
 
-    def is_bounded(self, service: str) -> bool:
+    def has_cold_rate(self, service: str) -> bool:
         """Return whether a service says what its cold upstreams bear."""
         steering = self._belief.steering
         known = None if steering is None else steering.services.get(service)
--- a/src/wardstair/gateway/course.py
+++ b/src/wardstair/gateway/course.py
@@ -7,8 +7,8 @@
 
 from wardstair.gateway.choosing import Placement
 from wardstair.gateway.handing_on import HopOutcome
-from wardstair.gateway.learning import SendCase
 from wardstair.gateway.messages import Inbound
+from wardstair.gateway.outcomes import SendAttempt
 from wardstair.gateway.reporting import Trail
 from wardstair.gateway.sending import Delivered, SendOutcome
 from wardstair.version.organisations import Organisation
@@ -98,6 +98,6 @@
             tasks.add(self.hop)
         return tasks
 
-    def case_of(self, placement: Placement) -> SendCase:
+    def case_of(self, placement: Placement) -> SendAttempt:
         """Return what the learner has to know of one of its sends."""
-        return SendCase(placement, self.route, self.key, self.trail)
+        return SendAttempt(placement, self.route, self.key, self.trail)
--- a/src/wardstair/gateway/witness.py
+++ b/src/wardstair/gateway/exit_detection.py
@@ -64,14 +64,14 @@
         self.later = set()
 
 
-class Witness:
+class ExitDetector:
     """Follows broken exchanges up; owns the tasks that do."""
 
     def __init__(
         self,
         suspects: SuspectTable,
         newest: Callable[[str], UpstreamEntry | None],
-        lapse_seconds: Callable[[], float],
+        expiry_seconds: Callable[[], float],
         in_service: Callable[[], Iterable[UpstreamEntry]] = tuple,
         ask: Probe = probe,
     ) -> None:
@@ -81,14 +81,14 @@
             suspects: Where proofs go.
             newest: Returns the entry of the newest life of a name, if it is
                 registered.
-            lapse_seconds: Returns how long the entry of an upstream that ended
+            expiry_seconds: Returns how long the entry of an upstream that ended
                 may stay.
             in_service: Returns the entries of all upstreams that take work.
             ask: Finds out whether anything listens at an address.
         """
         self.suspects = suspects
         self._newest = newest
-        self._lapse_seconds = lapse_seconds
+        self._lapse_seconds = expiry_seconds
         self._in_service = in_service
         self._probe = ask
         self._cases: dict[str, _Case] = {}
--- a/src/wardstair/gateway/fleet_views.py
+++ b/src/wardstair/gateway/fleet_views.py
@@ -9,7 +9,7 @@
 from wardstair.process.log import log_event
 
 # Time to hear of a host in each zone, which took 32 heartbeats with 62 zones.
-ZONES_SECONDS = 45.0
+ZONE_DISCOVERY_SECONDS = 45.0
 
 
 class FleetViews:
@@ -79,7 +79,7 @@
             fleet_size=max(members.fleet_size, least),
             zones=frozenset(members.zones()),
             is_settled=is_settled,
-            knows_zones=members.knows_fleet(ZONES_SECONDS),
+            knows_zones=members.knows_fleet(ZONE_DISCOVERY_SECONDS),
         )
 
     def _tell(self, view: HostView) -> None:
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -25,9 +25,10 @@
 from wardstair.gateway.admission import Admission
 from wardstair.gateway.choosing import Ask, Chooser, Placement
 from wardstair.gateway.course import Course, ResendReason
+from wardstair.gateway.exit_detection import ExitDetector
 from wardstair.gateway.handing_on import Handover, HopEnd, HopOutcome
-from wardstair.gateway.learning import Learner, is_failure
 from wardstair.gateway.messages import Inbound, Reply
+from wardstair.gateway.outcomes import OutcomeRecorder, is_failure
 from wardstair.gateway.relayed import (
     answer_of,
     inbound_of,
@@ -46,7 +47,6 @@
     Withheld,
 )
 from wardstair.gateway.settings import LiveSettings
-from wardstair.gateway.witness import Witness
 from wardstair.state.belief import Belief
 from wardstair.state.upstream import Upstream
 from wardstair.version.organisations import Organisation
@@ -93,7 +93,7 @@
         ways: WaysOut,
         settings: LiveSettings,
         reporter: Reporter,
-        witness: Witness,
+        witness: ExitDetector,
         admission: Admission,
     ) -> None:
         """Prepare without requests.
@@ -114,7 +114,7 @@
         self._admission = admission
         self._belief = belief
         self._chooser = chooser
-        self._learner = Learner(
+        self._learner = OutcomeRecorder(
             belief.catalog,
             chooser,
             settings,
@@ -312,7 +312,7 @@
         ended = [one for one in course.running if one in done]
         for task in ended:
             placement = course.running.pop(task)
-            outcome = self._learner.learn(
+            outcome = self._learner.record(
                 course.case_of(placement), task.result()
             )
             match outcome:
@@ -358,7 +358,7 @@
         """End a request whose time is up while upstreams are at it."""
         now = time.monotonic()
         for placement in course.running.values():
-            self._learner.note_silence(course.case_of(placement), now)
+            self._learner.note_overdue(course.case_of(placement), now)
         if course.failure is not None:
             return self._deliver(course, *course.failure)
         # What is running may have run: the answer promises nothing.
@@ -603,7 +603,7 @@
         course.is_ended = True
         now = time.monotonic()
         for slower in course.running.values():
-            self._learner.note_silence(course.case_of(slower), now)
+            self._learner.note_overdue(course.case_of(slower), now)
         bodies = len(course.inbound.body) + len(delivered.answer.body)
         self._chooser.work_of(course.route).note_size(bodies)
         self._reporter.answered(course.trail, placement, delivered)
--- a/src/wardstair/gateway/gauges.py
+++ b/src/wardstair/gateway/gauges.py
@@ -40,7 +40,7 @@
 def add_gauges(host: 'GatewayHost') -> None:
     """Add the gauges of a gateway to its metrics."""
     metrics = host.metrics
-    belief = host.belief
+    belief = host.local_state
     metrics.add_gauge(
         'wardstair_configuration_version',
         'Version of the configuration in force; -1 for none',
@@ -189,7 +189,7 @@
     metrics.add_count(
         'wardstair_reach_probes',
         'Upstreams asked whether they are within reach',
-        lambda: [(float(host.reach_keeper.probes), {})],
+        lambda: [(float(host.reachability_monitor.probes), {})],
     )
     metrics.add_count(
         'wardstair_relayed_requests',
@@ -204,7 +204,7 @@
 
 
 def _suspects(host: 'GatewayHost') -> list[Row]:
-    suspects = host.belief.suspects
+    suspects = host.local_state.suspects
     held = len(suspects.held)
     free = len(suspects.records) - held
     return [(float(held), {'held': 'yes'}), (float(free), {'held': 'no'})]
@@ -254,7 +254,7 @@
 def _limits(host: 'GatewayHost') -> list[Row]:
     return [
         (row.rate, {'upstream': name})
-        for name, row in host.belief.limits.rows.items()
+        for name, row in host.local_state.limits.rows.items()
         if row.rate is not None
     ]
 
@@ -262,7 +262,7 @@
 def _notices(host: 'GatewayHost') -> list[Row]:
     return [
         (float(count), {'notice': notice.value})
-        for notice, count in host.belief.notices.told.items()
+        for notice, count in host.local_state.notices.told.items()
     ]
 
 
@@ -273,7 +273,7 @@
 
 def _state_of(host: 'GatewayHost', upstream: Upstream, now: float) -> str:
     if upstream.takes_work:
-        standing = host.belief.notices.standing(upstream)
+        standing = host.local_state.notices.standing(upstream)
         if standing is not Standing.open:
             return standing.value
     return upstream.state_now(now)
@@ -286,7 +286,7 @@
 ) -> list[Row]:
     now = time.monotonic()
     counts: Counter[tuple[str, str]] = Counter()
-    for upstream in host.belief.catalog.upstreams.values():
+    for upstream in host.local_state.catalog.upstreams.values():
         state = _state_of(host, upstream, now)
         amount = upstream.own if counts_requests else 1
         counts[upstream.entry.service, state] += amount
--- a/src/wardstair/gateway/homes.py
+++ b/src/wardstair/gateway/homes.py
@@ -13,7 +13,7 @@
 from wardstair.decisions.ranking import Nearness, Place, rank
 from wardstair.decisions.region_pace import odds_factor
 from wardstair.decisions.relief import STEP_SECONDS, Crowd, relieved
-from wardstair.gateway.moving import RegionMoves
+from wardstair.gateway.region_moves import RegionMoves
 from wardstair.gateway.settings import LiveSettings
 from wardstair.process.log import log_event
 from wardstair.state.belief import Belief
@@ -150,7 +150,7 @@
 
     @property
     def _are_moving(self) -> bool:
-        return self._moves.are_under_way(self._now, self._most_share)
+        return self._moves.are_in_progress(self._now, self._most_share)
 
     @property
     def _most_share(self) -> float:
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -21,6 +21,7 @@
 from wardstair.fleet.radio import Radio
 from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
 from wardstair.gateway.admission import Admission
+from wardstair.gateway.announcing import ChangeAnnouncer
 from wardstair.gateway.authorising import Authoriser
 from wardstair.gateway.bodies import body_room
 from wardstair.gateway.callers import CallerListener
@@ -33,16 +34,16 @@
     ready_application,
     state_application,
 )
+from wardstair.gateway.exit_detection import ExitDetector
 from wardstair.gateway.fleet_views import FleetViews
 from wardstair.gateway.forwarding import Forwarder, WaysOut
 from wardstair.gateway.gauges import add_gauges
 from wardstair.gateway.handing_on import Handover
+from wardstair.gateway.incarnations import IncarnationEvents
 from wardstair.gateway.listeners import Listeners
-from wardstair.gateway.lives import LifeEnds
 from wardstair.gateway.messages import Inbound, Reply
-from wardstair.gateway.news import NewsSender
 from wardstair.gateway.quotas import Quotas
-from wardstair.gateway.reaching import ReachKeeper
+from wardstair.gateway.reachability import ReachabilityMonitor
 from wardstair.gateway.relay_server import RelayServer
 from wardstair.gateway.reporting import Reporter
 from wardstair.gateway.sending import Sender
@@ -51,8 +52,7 @@
     Listener,
     LiveSettings,
 )
-from wardstair.gateway.telling import NewsTeller
-from wardstair.gateway.witness import Witness
+from wardstair.gateway.updates import UpdateSender
 from wardstair.platform.store import Store
 from wardstair.process.log import log_event, log_warning
 from wardstair.process.metrics import Metrics
@@ -118,19 +118,19 @@
         )
         self._busyness = Busyness()
         self._random = random
-        self.belief = Belief(clock, Catalog(clock))
-        self.belief.on_steering = self._on_steering
-        self.belief.restoration.period = lambda: (
-            self.live_settings.current.heartbeat.lapse_seconds
+        self.local_state = Belief(clock, Catalog(clock))
+        self.local_state.on_steering = self._on_steering
+        self.local_state.restoration.period = lambda: (
+            self.live_settings.current.heartbeat.expiry_seconds
         )
-        self.belief.notices.drain_seconds = lambda: (
+        self.local_state.notices.drain_seconds = lambda: (
             self.live_settings.current.bounds.drain_seconds
         )
         self.store = Store(settings.store)
         self.contact = StoreContact(clock, random)
         self.store.on_era = self.contact.note_era
         self.contact.harmless_seconds = lambda: (
-            self.live_settings.current.heartbeat.harmless_seconds
+            self.live_settings.current.heartbeat.tolerated_outage_seconds
         )
         self.members = Members(
             own,
@@ -150,7 +150,7 @@
         self.radio = Radio(
             self.members,
             settings.fleet_ports[0],
-            lambda: self.belief.versions,
+            lambda: self.local_state.versions,
             random,
         )
         self.radio.sentinel_seconds = lambda: (
@@ -163,17 +163,17 @@
             lambda: self._sentinel_rank == 0,
         )
         self._role_log = RoleLog(roles)
-        self.radio.state_age = lambda: self.belief.age.told
-        self.belief.age.on_fresh = self.radio.tell_age
+        self.radio.state_age = lambda: self.local_state.age.told
+        self.local_state.age.on_fresh = self.radio.tell_age
         self.sync = StoreSync(
             self.store,
             self.contact,
-            self.belief,
+            self.local_state,
             roles,
             lambda: self.live_settings.current.timing,
         )
         self.exchange = StateExchange(
-            self.belief,
+            self.local_state,
             self.contact,
             settings.fleet_ports[0],
             roles,
@@ -182,17 +182,17 @@
         )
         self.radio.on_beat = self._on_beat
         self.radio.on_state = self.exchange.take_datagram
-        self._news = NewsSender(
+        self._news = UpdateSender(
             self.radio,
             self.exchange,
             roles,
             lambda: self.live_settings.current.timing,
         )
-        self.exchange.on_news = self._news.tell
-        self.sync.on_news = self._news.tell
+        self.exchange.on_news = self._news.send_update
+        self.sync.on_news = self._news.send_update
         self.refresher = StateRefresher(
             self.sync,
-            self.belief,
+            self.local_state,
             self.contact,
             roles,
             self._refresh_times,
@@ -202,7 +202,7 @@
             self.contact,
             own,
             self.members,
-            self.belief.restoration,
+            self.local_state.restoration,
             is_first_start=settings.is_first_start,
         )
         distances = Distances(self.live_settings)
@@ -213,22 +213,22 @@
             settings.fleet_ports[0],
             random,
         )
-        self.reach_keeper = ReachKeeper(
-            self.belief,
+        self.reachability_monitor = ReachabilityMonitor(
+            self.local_state,
             self.pool,
             random,
         )
-        self.belief.reach.times = lambda: reach_times(
+        self.local_state.reach.times = lambda: reach_times(
             self.live_settings.current.bounds.contact_seconds,
         )
-        self.belief.reach.on_change = self._on_reach
-        self.belief.reach.on_regained = self._on_regained
-        self.chooser = Chooser(self.live_settings, self.belief, distances)
+        self.local_state.reach.on_change = self._on_reach
+        self.local_state.reach.on_regained = self._on_regained
+        self.chooser = Chooser(self.live_settings, self.local_state, distances)
         reporter = Reporter(self.metrics)
         self.suspect_sharing = SuspectSharing(
             self.store,
             self.contact,
-            self.belief.suspects,
+            self.local_state.suspects,
             roles,
             random,
         )
@@ -238,25 +238,25 @@
             lambda: not self.chooser.limited_sends.is_idle,
         )
         self.radio.zone_loads = self.loads.told
-        self._suspect_teller = NewsTeller(self.radio.send_beats)
-        self._limit_teller = NewsTeller(
+        self._suspect_teller = ChangeAnnouncer(self.radio.send_beats)
+        self._limit_teller = ChangeAnnouncer(
             self.radio.send_beats,
             LIMIT_NEWS_SECONDS,
         )
-        self._reach_teller = NewsTeller(self.radio.send_beats)
-        self.belief.limits.on_change = self._on_limits
-        self._life_ends = LifeEnds(
-            self.belief,
+        self._reach_teller = ChangeAnnouncer(self.radio.send_beats)
+        self.local_state.limits.on_change = self._on_limits
+        self._life_ends = IncarnationEvents(
+            self.local_state,
             self.pool,
             self.chooser,
             self._suspect_teller,
             self.suspect_sharing.changed,
         )
-        self.witness = Witness(
-            self.belief.suspects,
+        self.exit_detector = ExitDetector(
+            self.local_state.suspects,
             self._life_ends.newest,
-            lambda: self.live_settings.current.heartbeat.lapse_seconds,
-            lambda: self.belief.catalog.in_service,
+            lambda: self.live_settings.current.heartbeat.expiry_seconds,
+            lambda: self.local_state.catalog.in_service,
         )
         self.quotas = Quotas(
             clock,
@@ -276,30 +276,30 @@
             self.members,
             self.quotas.table,
             settings.fleet_ports[0] + DEMAND_PORT_OFFSET,
-            lambda: self.belief.has_quotas,
+            lambda: self.local_state.has_quotas,
             random,
         )
         self.demand_radio.far_addresses = lambda: self.radio.far_addresses
         self.demand_radio.on_reported = self.quotas.note_reported
         self._freshness = ConfigurationFreshness(clock, self._hears_store)
         self.forwarder = Forwarder(
-            self.belief,
+            self.local_state,
             self.chooser,
             WaysOut(
-                Sender(self.pool, distances, self.belief),
+                Sender(self.pool, distances, self.local_state),
                 self.handover,
             ),
             self.live_settings,
             reporter,
-            self.witness,
+            self.exit_detector,
             Admission(
-                self.belief,
-                Authoriser(self.belief, self._configuration_freshness),
+                self.local_state,
+                Authoriser(self.local_state, self._configuration_freshness),
                 self.quotas,
                 reporter,
             ),
         )
-        self.reach_keeper.on_doubt = self.forwarder.hand_on_waiting
+        self.reachability_monitor.on_doubt = self.forwarder.hand_on_waiting
         self.directory = Directory(self.live_settings, own, self.members)
         self.callers = CallerListener(
             self._serve_caller,
@@ -318,7 +318,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether callers should be sent here."""
-        return self.belief.steering is not None and not self._is_stopping
+        return self.local_state.steering is not None and not self._is_stopping
 
     @property
     def is_sentinel(self) -> bool:
@@ -346,7 +346,7 @@
         listeners.open(
             state_application(
                 self.exchange,
-                self.belief.suspects,
+                self.local_state.suspects,
                 self.relays,
             ),
             Listener(settings.address, settings.fleet_ports[0]),
@@ -366,7 +366,7 @@
         spawn('demand', self.demand_radio.run)
         spawn('sweep', self._sweep)
         spawn('state-age', self.refresher.run)
-        spawn('reach', self.reach_keeper.run)
+        spawn('reach', self.reachability_monitor.run)
         log_event(
             'host-started',
             host=settings.name,
@@ -409,7 +409,7 @@
             return
         self._is_closed = True
         await self._supervisor.stop()
-        self.witness.close()
+        self.exit_detector.close()
         self._suspect_teller.close()
         self._limit_teller.close()
         self._reach_teller.close()
@@ -439,15 +439,15 @@
         ]
 
     def _on_steering(self) -> None:
-        steering = self.belief.steering
+        steering = self.local_state.steering
         assert steering is not None
         self.chooser.splits.follow(steering.routes)
         self.quotas.forget(steering.organisations.by_name)
         self._listeners.limit_callers(steering.limits)
 
     def _most_connections(self, name: str) -> int:
-        steering = self.belief.steering
-        upstream = self.belief.catalog.upstreams.get(name)
+        steering = self.local_state.steering
+        upstream = self.local_state.catalog.upstreams.get(name)
         if steering is None or upstream is None:
             return LEAST_CONNECTIONS
         service = steering.services.get(upstream.entry.service)
@@ -463,16 +463,16 @@
             await asyncio.sleep(SWEEP_SECONDS)
             now = self._clock()
             self.members.is_busy = self._busyness.note(now - due, now)
-            catalog = self.belief.catalog
+            catalog = self.local_state.catalog
             catalog.expire_missing()
             self.pool.sweep(self._is_wanted)
             self.chooser.cold_sends.forget(set(catalog.upstreams))
             self.chooser.limited_sends.forget(catalog.upstreams)
             self.loads.step()
-            self.belief.end_restore()
-            self.belief.suspects.expire()
-            self.belief.limits.forget(catalog.upstreams)
-            self.belief.notices.forget(catalog.upstreams)
+            self.local_state.end_restore()
+            self.local_state.suspects.expire()
+            self.local_state.limits.forget(catalog.upstreams)
+            self.local_state.notices.forget(catalog.upstreams)
             self.views.refresh()
             self._role_log.refresh()
             self._freshness.refresh()
@@ -481,9 +481,11 @@
         settings = self.live_settings.current
         again = self.store.slack.after(
             settings.timing.far_hedge,
-            settings.news_seconds,
+            settings.update_bound_seconds,
+        )
+        return refresh_times(
+            settings.update_bound_seconds, settings.name, again
         )
-        return refresh_times(settings.news_seconds, settings.name, again)
 
     def _assumed_hosts(self) -> int:
         """Return the number of hosts assumed before any report is received.
@@ -531,7 +533,7 @@
             self.views.refresh_loads()
 
     async def _serve_caller(self, inbound: Inbound) -> Reply:
-        if not self.belief.reach.is_cut_off:
+        if not self.local_state.reach.is_cut_off:
             # Otherwise it counts at the host that it is handed on to.
             self.loads.note_request()
         return await self.forwarder.serve(inbound)
@@ -542,7 +544,7 @@
 
     def _on_reach(self) -> None:
         """Have others know what this host does not reach."""
-        reach = self.belief.reach
+        reach = self.local_state.reach
         self.members.lost = reach.lost
         if reach.is_cut_off:
             # Open connections may have gone silent with the rest.
@@ -552,8 +554,8 @@
     def _on_regained(self, groups: frozenset[str]) -> None:
         """Drop what was learned of upstreams while the way to them was cut."""
         for group in groups:
-            for entry in self.belief.reach.members_of(group):
-                self.belief.catalog.upstreams[entry.name].forgive()
+            for entry in self.local_state.reach.members_of(group):
+                self.local_state.catalog.upstreams[entry.name].forgive()
 
     def _on_doubt(self) -> None:
         """Let others watch the store while this sentinel doubts its contact."""
@@ -561,7 +563,9 @@
             self.radio.send_beats()
 
     def _is_wanted(self, name: str) -> bool:
-        upstream = self.belief.catalog.upstreams.get(name)
+        upstream = self.local_state.catalog.upstreams.get(name)
         if upstream is None or not upstream.takes_work:
             return False
-        return self.belief.notices.standing(upstream) is not Standing.closed
+        return (
+            self.local_state.notices.standing(upstream) is not Standing.closed
+        )
--- a/src/wardstair/gateway/lives.py
+++ b/src/wardstair/gateway/incarnations.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from wardstair.connection.pool import UpstreamPool
+from wardstair.gateway.announcing import ChangeAnnouncer
 from wardstair.gateway.choosing import Chooser, ColdReason
-from wardstair.gateway.telling import NewsTeller
 from wardstair.state.belief import Belief
 from wardstair.state.entries import UpstreamEntry
 
 
-class LifeEnds:
+class IncarnationEvents:
     """Passes the end of a life on to whoever keeps something of it."""
 
     def __init__(
@@ -17,7 +17,7 @@
         belief: Belief,
         pool: UpstreamPool,
         chooser: Chooser,
-        teller: NewsTeller,
+        teller: ChangeAnnouncer,
         changed: asyncio.Event,
     ) -> None:
         """Listen to the catalog and the table of suspects.
--- a/src/wardstair/gateway/limited_sends.py
+++ b/src/wardstair/gateway/limited_sends.py
@@ -32,14 +32,14 @@
 # Step by which keys are drawn to an upstream, and the most: beyond it, keys
 # would leave homes all over the service for one that takes few.
 DRAW_STEP = 1.5
-MOST_DRAWN = 32.0
+MAX_WEIGHT_FACTOR = 32.0
 # Change of a part that is worth a log line: parts follow the load, and with
 # each change told one upstream made three lines a second.
 TOLD_CHANGE = 0.5
 # Part of its time that a caller waits at most, by the users' pages.
-WAITED_SHARE = 1 / 3
+MAX_WAIT_FRACTION = 1 / 3
 # Longest that a caller is told to wait: limits change within seconds.
-MOST_WAIT_SECONDS = 30.0
+MAX_WAIT_SECONDS = 30.0
 
 
 @dataclass(slots=True)
@@ -111,7 +111,7 @@
         """Return whether an upstream names a limit."""
         return self._limits.rate_of(upstream) is not None
 
-    def are_due(self, upstream: Upstream, now: float) -> bool:
+    def may_send(self, upstream: Upstream, now: float) -> bool:
         """Return whether an upstream may get a request from here now."""
         rate = self._limits.rate_of(upstream)
         if rate is None:
@@ -189,8 +189,8 @@
         total = sum(max(rate, LEAST_RATE) for rate in rates if rate is not None)
         service = next(iter(upstreams)).entry.service
         place = max(now, self._next_at.get(service, now)) + hosts / total
-        wait = min(place - now, MOST_WAIT_SECONDS)
-        if wait < seconds_left * WAITED_SHARE:
+        wait = min(place - now, MAX_WAIT_SECONDS)
+        if wait < seconds_left * MAX_WAIT_FRACTION:
             self._next_at[service] = place
         return wait
 
@@ -223,7 +223,7 @@
         wanted = kept.wanted / seconds
         kept.wanted = 0
         part = kept.part_for(upstream, rate, self._view())
-        most = min(MOST_DRAWN, max(1.0, part.stands_for))
+        most = min(MAX_WEIGHT_FACTOR, max(1.0, part.stands_for))
         if part.rate <= 0:
             return 1.0
         if wanted < part.rate * WANTED:
--- a/src/wardstair/gateway/learning.py
+++ b/src/wardstair/gateway/outcomes.py
@@ -8,6 +8,7 @@
 from wardstair.decisions.mechanisms import Mechanism
 from wardstair.decisions.placement import expected_seconds
 from wardstair.gateway.choosing import Chooser, ColdReason, Placement
+from wardstair.gateway.exit_detection import ExitDetector
 from wardstair.gateway.reporting import Trail
 from wardstair.gateway.sending import (
     Delivered,
@@ -17,7 +18,6 @@
     TurnedAway,
 )
 from wardstair.gateway.settings import LiveSettings
-from wardstair.gateway.witness import Witness
 from wardstair.platform.headers import ToldLoad
 from wardstair.process.log import log_event
 from wardstair.state.catalog import Catalog
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SendCase:
+class SendAttempt:
     """One send of a request.
 
     Attributes:
@@ -63,7 +63,7 @@
     return delivered.answer.status < _FAILURES_FROM
 
 
-class Learner:
+class OutcomeRecorder:
     """Takes outcomes into the view of upstreams; one a process."""
 
     def __init__(
@@ -71,7 +71,7 @@
         catalog: Catalog,
         chooser: Chooser,
         settings: LiveSettings,
-        witness: Witness,
+        exit_detector: ExitDetector,
         reach: ReachTable,
     ) -> None:
         """Prepare.
@@ -80,16 +80,16 @@
             catalog: The upstreams.
             chooser: Keeps the usual work of routes.
             settings: Settings of this host.
-            witness: Finds out whether an upstream ended under a request.
+            exit_detector: Finds out whether an upstream ended under a request.
             reach: Told which upstreams keep silent.
         """
         self._reach = reach
-        self._witness = witness
+        self._witness = exit_detector
         self._settings = settings
         self._catalog = catalog
         self._chooser = chooser
 
-    def learn(self, case: SendCase, outcome: SendOutcome) -> SendOutcome:
+    def record(self, case: SendAttempt, outcome: SendOutcome) -> SendOutcome:
         """Note what an outcome tells of the upstream; return it."""
         upstream = case.placement.upstream
         now = time.monotonic()
@@ -131,7 +131,7 @@
                 self._distrust(case, broken, now)
         return outcome
 
-    def _testify(self, case: SendCase, outcome: SendOutcome) -> None:
+    def _testify(self, case: SendAttempt, outcome: SendOutcome) -> None:
         """Tell what an outcome says of the request rather than the upstream."""
         upstream = case.placement.upstream
         inbound = case.trail.inbound
@@ -146,7 +146,7 @@
     def _trusts_load(self) -> bool:
         return self._settings.current.uses(Mechanism.told_rejections)
 
-    def note_silence(self, case: SendCase, now: float) -> None:
+    def note_overdue(self, case: SendAttempt, now: float) -> None:
         """Note against an upstream that it was far slower than expected.
 
         Args:
@@ -157,7 +157,7 @@
             self._distrust(case, 'silent', now)
             self._reach.note_failed(case.placement.upstream.entry)
 
-    def _distrust(self, case: SendCase, reason: str, now: float) -> None:
+    def _distrust(self, case: SendAttempt, reason: str, now: float) -> None:
         upstream = case.placement.upstream
         log_event(
             'upstream-avoided',
@@ -167,7 +167,9 @@
             seconds=upstream.note_failure(now),
         )
 
-    def _learn_time(self, case: SendCase, seconds: float, now: float) -> None:
+    def _learn_time(
+        self, case: SendAttempt, seconds: float, now: float
+    ) -> None:
         upstream = case.placement.upstream
         was_warm = upstream.warm.has(case.key, now)
         case.trail.was_warm = was_warm
--- a/src/wardstair/gateway/reaching.py
+++ b/src/wardstair/gateway/reachability.py
@@ -30,7 +30,7 @@
 _DEFAULT_PATH = '/'
 
 
-class ReachKeeper:
+class ReachabilityMonitor:
     """Asks upstreams when requests do not tell; one a process.
 
     Attributes:
--- a/src/wardstair/gateway/moving.py
+++ b/src/wardstair/gateway/region_moves.py
@@ -21,7 +21,7 @@
         self._steering: Steering | None = None
         self._moves: dict[str, RegionMove] = {}
 
-    def are_under_way(self, now: float, most_share: float) -> bool:
+    def are_in_progress(self, now: float, most_share: float) -> bool:
         """Return whether any route is on its way.
 
         One that nobody asks for any more arrives as well: while any counts as
--- a/src/wardstair/gateway/settings.py
+++ b/src/wardstair/gateway/settings.py
@@ -108,7 +108,7 @@
     upstream_seconds: float = 1.5
 
     @property
-    def lapse_seconds(self) -> float:
+    def expiry_seconds(self) -> float:
         """Time until the entry of an upstream that ended is known as gone.
 
         An entry lapses after three periods of silence; a fourth is left for
@@ -117,7 +117,7 @@
         return 4 * self.upstream_seconds
 
     @property
-    def harmless_seconds(self) -> float:
+    def tolerated_outage_seconds(self) -> float:
         """Time for which the store may be away without an entry lapsing.
 
         Its upstream may have written it up to one period before.
@@ -200,7 +200,7 @@
         return self.zones[self.zone]
 
     @property
-    def news_seconds(self) -> float:
+    def update_bound_seconds(self) -> float:
         """The tightest bound on news, in seconds."""
         bounds = self.bounds
         return min(
@@ -212,7 +212,9 @@
     @property
     def timing(self) -> Timing:
         """How often this host looks, so that it keeps the bounds."""
-        return timing_for(self.news_seconds, self.bounds.contact_seconds)
+        return timing_for(
+            self.update_bound_seconds, self.bounds.contact_seconds
+        )
 
     def uses(self, mechanism: Mechanism) -> bool:
         """Return whether a mechanism is to be used."""
--- a/src/wardstair/gateway/news.py
+++ b/src/wardstair/gateway/updates.py
@@ -9,7 +9,7 @@
 from wardstair.state.roles import Roles
 
 
-class NewsSender:
+class UpdateSender:
     """Sends small news as state, then heartbeats for hosts that lack more.
 
     Both are sent twice, as datagrams are lost. A relay sends state to its
@@ -37,7 +37,7 @@
         self._timing = timing
         self._repeat: asyncio.TimerHandle | None = None
 
-    def tell(self) -> None:
+    def send_update(self) -> None:
         """Tell what is new now, and once more a little later."""
         if not self._roles.is_relay():
             return
--- a/tests/functional/test_cold_after_restore.py
+++ b/tests/functional/test_cold_after_restore.py
@@ -47,7 +47,7 @@
         (port,) = free_ports(1)
         host = await fleet.start_host(0, port)
         await until(lambda: host.is_ready)
-        await until(lambda: bool(host.belief.catalog.of_service('views')))
+        await until(lambda: bool(host.local_state.catalog.of_service('views')))
         load = Load(CALLER_RATE)
         await load.play(fleet.hosts, PLAYED_SECONDS)
         came = len(upstream.seen)
@@ -77,7 +77,7 @@
         store.put(HOST_KIND, 'host-9', encode_host(registered)['spec'])
         (port,) = free_ports(1)
         host = await fleet.start_host(0, port)
-        catalog = host.belief.catalog
+        catalog = host.local_state.catalog
         await until(lambda: bool(catalog.of_service('views')))
         assert not catalog.upstreams['i-0'].is_cold(catalog.clock())
         await host.close()
--- a/tests/functional/test_cut_off_hosts.py
+++ b/tests/functional/test_cut_off_hosts.py
@@ -187,9 +187,9 @@
         # Two probes, and two heartbeats that would tell of what they show.
         await asyncio.sleep(2.5)
         now = time.monotonic()
-        assert not any(host.belief.suspects.records for host in others)
+        assert not any(host.local_state.suspects.records for host in others)
         for host in others:
-            upstreams = host.belief.catalog.upstreams.values()
+            upstreams = host.local_state.catalog.upstreams.values()
             assert not any(one.is_cold(now) for one in upstreams)
             assert not any(one.is_avoided(now) for one in upstreams)
 
--- a/tests/functional/test_explain.py
+++ b/tests/functional/test_explain.py
@@ -103,7 +103,9 @@
 def test_unreachable_upstreams() -> None:
     async def test(rig: Rig) -> None:
         rig.store.put('servers', 'i-2', upstream_spec(1))
-        await rig.until(lambda: 'i-2' in rig.gateway.belief.catalog.upstreams)
+        await rig.until(
+            lambda: 'i-2' in rig.gateway.local_state.catalog.upstreams
+        )
         answer = await rig.ask('/order/x', 'POST', b'x')
         assert answer.status == 503
 
--- a/tests/functional/test_foreign_entries.py
+++ b/tests/functional/test_foreign_entries.py
@@ -46,7 +46,7 @@
     async def test() -> None:
         async with Rig(one, two) as rig:
             gateway = rig.gateway
-            services = gateway.belief.catalog.of_service
+            services = gateway.local_state.catalog.of_service
             unusable = gateway.sync.unusable
             rig.store.put('servers', 'i-bad', {'address': 7})
             await rig.until(lambda: 'i-bad' in unusable)
--- a/tests/functional/test_gateway_fleet.py
+++ b/tests/functional/test_gateway_fleet.py
@@ -125,11 +125,11 @@
 
 def agree(hosts: list[GatewayHost]) -> bool:
     """Return whether no host has a reason to ask another."""
-    versions = [host.belief.versions for host in hosts]
+    versions = [host.local_state.versions for host in hosts]
     newest = max(one.upstreams for one in versions)
     followers = [host for host in hosts if not host.is_sentinel]
     return len({one.evacuations for one in versions}) == 1 and all(
-        host.belief.versions.upstreams == newest for host in followers
+        host.local_state.versions.upstreams == newest for host in followers
     )
 
 
@@ -169,7 +169,7 @@
             store.put('config', 'main', configuration_spec(9))
             store.put('evacuations', 'south-a', {})
             store.put('servers', 'i-1', upstream_spec(1))
-            belief = hosts[1].belief
+            belief = hosts[1].local_state
             await until(lambda: belief.versions.configuration == 9)
             await until(lambda: belief.evacuated == {'south-a'})
             await until(lambda: 'i-1' in belief.catalog.upstreams)
@@ -189,14 +189,14 @@
             store.compact('config')
             store.compact('evacuations')
             for host in hosts:
-                belief = host.belief
+                belief = host.local_state
                 await until(partial(knows, belief))
 
     run(test)
 
 
 def knows_upstream(host: GatewayHost, name: str) -> bool:
-    upstream = host.belief.catalog.upstreams.get(name)
+    upstream = host.local_state.catalog.upstreams.get(name)
     return upstream is not None and upstream.takes_work
 
 
@@ -222,7 +222,7 @@
             store.put('config', 'main', configuration_spec(9))
             store.put('evacuations', 'south-a', {})
             for host in hosts:
-                await until(partial(knows, host.belief))
+                await until(partial(knows, host.local_state))
                 await until(partial(knows_upstream, host, 'i-1'))
             # Both relays of a zone end without a word.
             ended = [
@@ -265,7 +265,7 @@
     async def test() -> None:
         async with fleet(1) as (store, hosts):
             versions: list[int] = []
-            belief = hosts[0].belief
+            belief = hosts[0].local_state
             seen = belief.on_steering
 
             def note() -> None:
--- a/tests/functional/test_gateway_requests.py
+++ b/tests/functional/test_gateway_requests.py
@@ -289,9 +289,11 @@
     async def test(rig: Rig) -> None:
         routes = {'order': route_spec('/order/', 'unsafe', timeout_ms=1500)}
         rig.store.put('config', 'main', configuration_spec(2, **routes))
-        await rig.until(lambda: rig.gateway.belief.versions.configuration == 2)
+        await rig.until(
+            lambda: rig.gateway.local_state.versions.configuration == 2
+        )
         assert (await rig.ask('/order/x', 'POST', b'x')).status == 504
-        upstream = rig.gateway.belief.catalog.upstreams['i-1']
+        upstream = rig.gateway.local_state.catalog.upstreams['i-1']
         assert upstream.is_avoided(time.monotonic())
 
     run(test, one)
@@ -337,7 +339,9 @@
             'order': route_spec('/order/', 'unsafe', timeout_ms=300),
         }
         rig.store.put('config', 'main', configuration_spec(2, **routes))
-        await rig.until(lambda: rig.gateway.belief.versions.configuration == 2)
+        await rig.until(
+            lambda: rig.gateway.local_state.versions.configuration == 2
+        )
         answer = await rig.ask(target, 'POST', b'x')
         assert answer.status == 504
         await one.closed_by_peer.wait()
@@ -365,7 +369,7 @@
         only_south = route_spec('/read/', 'safe', allowed_regions=['south'])
         document = configuration_spec(2, read=only_south)
         rig.store.put('config', 'main', document)
-        belief = rig.gateway.belief
+        belief = rig.gateway.local_state
         await rig.until(lambda: belief.versions.configuration == 2)
         await rig.until(
             lambda: belief.catalog.upstreams['i-far'].entry.zone == 'south-a',
@@ -490,7 +494,7 @@
             await asyncio.sleep(LEAST_FORGOTTEN_SECONDS)
         # It is no fault of theirs.
         now = time.monotonic()
-        catalog = rig.gateway.belief.catalog
+        catalog = rig.gateway.local_state.catalog
         assert not any(one.failures for one in catalog.of_service('views'))
         assert not any(
             one.ejected_until > now for one in catalog.of_service('views')
@@ -513,7 +517,7 @@
         split = route_spec('/read/', 'safe', service=None, backends=parts)
         document = configuration_spec(2, read=split)
         rig.store.put('config', 'main', document)
-        belief = rig.gateway.belief
+        belief = rig.gateway.local_state
         await rig.until(lambda: belief.versions.configuration == 2)
         await rig.until(lambda: len(belief.catalog.of_service('orders')) == 1)
         statuses = []
@@ -558,7 +562,7 @@
 
     async def test(rig: Rig) -> None:
         answer = await rig.ask()
-        upstream = rig.gateway.belief.catalog.upstreams['i-1']
+        upstream = rig.gateway.local_state.catalog.upstreams['i-1']
         assert upstream.told == told
         assert answer.status == 503
         assert json.loads(answer.body)['kind'] == kind
@@ -576,7 +580,7 @@
         off = frozenset((Mechanism.told_rejections,))
         live.current = replace(live.current, switched_off=off)
         await rig.ask()
-        assert rig.gateway.belief.catalog.upstreams['i-1'].told == 12
+        assert rig.gateway.local_state.catalog.upstreams['i-1'].told == 12
 
     run(test, one)
 
@@ -602,7 +606,7 @@
 
     async def test(rig: Rig) -> None:
         home = (await rig.ask()).body.decode()
-        upstream = rig.gateway.belief.catalog.upstreams[home]
+        upstream = rig.gateway.local_state.catalog.upstreams[home]
         upstream.ejected_until = float('inf')
         live = rig.gateway.live_settings
         off = frozenset(() if is_on else (Mechanism.ejection,))
--- a/tests/functional/test_handing_on.py
+++ b/tests/functional/test_handing_on.py
@@ -45,7 +45,7 @@
         caller = await Caller.connect_to(host.settings.callers)
         await caller.ask('/read/x', request_id='first')
         caller.close()
-    await until(lambda: all(one.belief.reach.is_cut_off for one in hosts))
+    await until(lambda: all(one.local_state.reach.is_cut_off for one in hosts))
     for host in fleet.hosts:
         host.relays.taken = 0
 
--- a/tests/functional/test_lapse_or_removal.py
+++ b/tests/functional/test_lapse_or_removal.py
@@ -57,7 +57,7 @@
         store = self.fleet.store
         store.delete('servers', name)
         revision = store.revision
-        catalog = self.host.belief.catalog
+        catalog = self.host.local_state.catalog
         await until(lambda: catalog.revision.number >= revision)
 
 
@@ -78,7 +78,7 @@
 
 def uses(host: GatewayHost, name: str) -> bool:
     """Return whether a host would send requests to an upstream."""
-    known = host.belief.catalog.of_service('views')
+    known = host.local_state.catalog.of_service('views')
     return name in {upstream.name for upstream in known}
 
 
@@ -124,13 +124,13 @@
                 lambda: all(host.contact.is_lost for host in fleet.hosts)
             )
             heartbeat = fleet.hosts[0].live_settings.current.heartbeat
-            await asyncio.sleep(heartbeat.harmless_seconds)
+            await asyncio.sleep(heartbeat.tolerated_outage_seconds)
             fleet.store.status = None
             await until(lambda: any(one.contact.is_held for one in fleet.hosts))
             fleet.store.delete('servers', 'i-2')
             revision = fleet.store.revision
             for host in fleet.hosts:
-                catalog = host.belief.catalog
+                catalog = host.local_state.catalog
                 await until(lambda: catalog.revision.number >= revision)  # noqa: B023
                 assert uses(host, 'i-2')
             await until(
--- a/tests/functional/test_leaving_in_time.py
+++ b/tests/functional/test_leaving_in_time.py
@@ -153,12 +153,12 @@
             (
                 'evacuation',
                 evacuate,
-                lambda host: 'north-b' in host.belief.evacuated,
+                lambda host: 'north-b' in host.local_state.evacuated,
             ),
             (
                 'configuration',
                 configure,
-                lambda host: host.belief.versions.configuration == 2,
+                lambda host: host.local_state.versions.configuration == 2,
             ),
         )
     ],
--- a/tests/functional/test_leaving_while_connecting.py
+++ b/tests/functional/test_leaving_while_connecting.py
@@ -112,7 +112,7 @@
     """Register the other upstream in a zone that is not evacuated."""
     entry = upstream_spec(other.port, zone='north-b')
     rig.store.put('servers', other.name, entry)
-    upstream = rig.gateway.belief.catalog.upstreams[other.name]
+    upstream = rig.gateway.local_state.catalog.upstreams[other.name]
     await rig.until(lambda: upstream.entry.zone == 'north-b')
 
 
@@ -156,7 +156,7 @@
             await rig.until(lambda: len(late.waiting) >= REQUESTS)
             assert LEAVER in late.waiting
             leave(rig, leaver)
-            await rig.until(lambda: has_left(rig.gateway.belief))
+            await rig.until(lambda: has_left(rig.gateway.local_state))
             late.may_go_on.set()
             answers = await asked
             assert {answer.status for answer in answers} == {200}
@@ -182,7 +182,7 @@
             asked = begin_many(rig, '/order/x', 'POST')
             await rig.until(lambda: bool(late.waiting))
             leave(rig, leaver)
-            await rig.until(lambda: has_left(rig.gateway.belief))
+            await rig.until(lambda: has_left(rig.gateway.local_state))
             late.may_go_on.set()
             answers = await asked
             later = await rig.ask('/order/x', 'POST', b'1', 'late')
@@ -213,7 +213,7 @@
             rig.store.put('servers', OTHER, upstream_spec(other.port))
             entry = upstream_spec(after.port)
             rig.store.put('servers', LEAVER, {**entry, 'born': 1})
-            known = rig.gateway.belief.catalog.upstreams
+            known = rig.gateway.local_state.catalog.upstreams
             await rig.until(
                 lambda: OTHER in known and known[LEAVER].entry.born == 1
             )
@@ -244,7 +244,7 @@
             await rig.until(lambda: len(late.waiting) >= REQUESTS)
             assert LEAVER in late.waiting
             leave(rig, leaver)
-            await rig.until(lambda: has_left(rig.gateway.belief))
+            await rig.until(lambda: has_left(rig.gateway.local_state))
             late.may_go_on.set()
             answers = await asked
             assert {answer.status for answer in answers} == {200}
--- a/tests/functional/test_named_limits.py
+++ b/tests/functional/test_named_limits.py
@@ -27,7 +27,7 @@
 from lib.specs import upstream_spec
 from lib.upstream_standin import Seen, UpstreamStandin, whole_answer
 
-from wardstair.gateway.limited_sends import MOST_WAIT_SECONDS
+from wardstair.gateway.limited_sends import MAX_WAIT_SECONDS
 
 HOSTS = 6
 UPSTREAMS = 6
@@ -135,7 +135,7 @@
 def knows(fleet: Fleet, name: str, rate: float | None) -> bool:
     """Return whether all hosts know what an upstream named."""
     return all(
-        (row := host.belief.limits.rows.get(name)) is not None
+        (row := host.local_state.limits.rows.get(name)) is not None
         and row.rate == rate
         for host in fleet.hosts
     )
@@ -175,7 +175,7 @@
             entry = upstream_spec(fleet.upstreams[0].port, zone='north-a')
             entry['born'] = 7
             fleet.store.put('servers', 'i-0', entry)
-            catalogs = [host.belief.catalog for host in fleet.hosts]
+            catalogs = [host.local_state.catalog for host in fleet.hosts]
             await until(
                 lambda: all(
                     one.upstreams['i-0'].entry.born == 7 for one in catalogs
@@ -183,7 +183,7 @@
             )
             assert not any(
                 host.chooser.limited_sends.is_limited(
-                    host.belief.catalog.upstreams['i-0'],
+                    host.local_state.catalog.upstreams['i-0'],
                 )
                 for host in fleet.hosts
             )
@@ -217,7 +217,7 @@
             assert refused
             assert all(b'limits-reached' in one.body for one in refused)
             waits = [float(one.headers['retry-after']) for one in refused]
-            assert all(0 < wait <= MOST_WAIT_SECONDS for wait in waits)
+            assert all(0 < wait <= MAX_WAIT_SECONDS for wait in waits)
             assert {one.status for one in load.answers} == {200, 503}
 
     run(test)
--- a/tests/functional/test_older_era.py
+++ b/tests/functional/test_older_era.py
@@ -49,7 +49,7 @@
             fleet.store.put('evacuations', ZONES[0], {})
             await until(lambda: is_evacuated(fleet, ZONES[0]))
             fleet.store.delete('evacuations', ZONES[0])
-            await until(lambda: not late.belief.evacuated)
+            await until(lambda: not late.local_state.evacuated)
             proxy.set_mode(mode)
             for number in range(restores):
                 await restore(fleet, copy)
@@ -58,7 +58,7 @@
             fleet.store.put('servers', 'i-new', upstream_spec(9))
             await until(lambda: is_evacuated(fleet, ZONES[1]))
             await until(lambda: all(is_used(fleet, 'i-new')))
-            await until(lambda: late.belief.versions.configuration > 1)
+            await until(lambda: late.local_state.versions.configuration > 1)
             assert late.contact.era < fleet.store.era
             proxy.set_mode(Mode.carry)
             await until(lambda: late.contact.era == fleet.store.era)
@@ -68,7 +68,9 @@
             fleet.store.delete('evacuations', ZONES[1])
             fleet.store.delete('servers', 'i-new')
             await until(
-                lambda: not any(host.belief.evacuated for host in fleet.hosts)
+                lambda: (
+                    not any(host.local_state.evacuated for host in fleet.hosts)
+                )
             )
             await until(lambda: not any(is_used(fleet, 'i-new')))
             await proxy.stop()
--- a/tests/functional/test_organisations.py
+++ b/tests/functional/test_organisations.py
@@ -43,7 +43,7 @@
 async def adopt(rig: Rig, version: int, *api_keys: str) -> None:
     """Put a version in force."""
     rig.store.put('config', 'main', configuration(version, *api_keys))
-    belief = rig.gateway.belief
+    belief = rig.gateway.local_state
     await rig.until(lambda: belief.versions.configuration == version)
 
 
@@ -164,7 +164,7 @@
     async def test(rig: Rig) -> None:
         entry = upstream_spec(far.port, zone='south-a')
         rig.store.put('servers', 'i-far', entry)
-        catalog = rig.gateway.belief.catalog
+        catalog = rig.gateway.local_state.catalog
         await rig.until(
             lambda: catalog.upstreams['i-far'].entry.zone == 'south-a',
         )
--- a/tests/functional/test_refused_connections.py
+++ b/tests/functional/test_refused_connections.py
@@ -41,7 +41,7 @@
             one.refuse()
         else:
             await one.stop()
-        known = rig.gateway.belief.catalog.upstreams['i-1']
+        known = rig.gateway.local_state.catalog.upstreams['i-1']
         pool = rig.gateway.pool
         if not keeps_connection:
             await rig.until(lambda: not pool.is_connected('i-1'))
@@ -56,7 +56,7 @@
         await one.start()
         entry = {**upstream_spec(one.port), 'born': 5}
         rig.store.put('servers', 'i-1', entry)
-        catalog = rig.gateway.belief.catalog
+        catalog = rig.gateway.local_state.catalog
         await rig.until(lambda: catalog.upstreams['i-1'].entry.born == 5)
         assert not catalog.upstreams['i-1'].is_cold(time.monotonic())
         caller = await Caller.connect(rig)
@@ -75,7 +75,7 @@
         assert isinstance(services, dict)
         services['views'].pop('cold_per_s')
         rig.store.put('config', 'main', spec)
-        belief = rig.gateway.belief
+        belief = rig.gateway.local_state
         await rig.until(lambda: belief.versions.configuration == 2)
         await one.stop()
         assert (await rig.ask()).status == 503
--- a/tests/functional/test_request_ends_upstreams.py
+++ b/tests/functional/test_request_ends_upstreams.py
@@ -178,7 +178,7 @@
 
 
 def knows_upstreams(host: GatewayHost) -> bool:
-    known = host.belief.catalog.of_service('views')
+    known = host.local_state.catalog.of_service('views')
     return host.is_ready and len(known) == UPSTREAMS
 
 
@@ -223,7 +223,7 @@
             before = len(fleet.ended)
             port = fleet.hosts[0].settings.fleet_ports[0]
             newcomer = await fleet.start_host(5, port)
-            await until(lambda: bool(newcomer.belief.suspects.held))
+            await until(lambda: bool(newcomer.local_state.suspects.held))
             await until(lambda: newcomer.is_ready)
             assert await fleet.try_harmful(newcomer, 50) == 503
             assert len(fleet.ended) == before
@@ -246,7 +246,9 @@
                 host = await fleet.start_host(number, port)
             await until(lambda: all(one.is_ready for one in fleet.hosts))
             await until(
-                lambda: all(one.belief.suspects.held for one in fleet.hosts),
+                lambda: all(
+                    one.local_state.suspects.held for one in fleet.hosts
+                ),
             )
             assert await fleet.try_harmful(host, 60) == 503
             assert len(fleet.ended) == before
@@ -259,8 +261,8 @@
         async with scene(size=2) as fleet:
             await fleet.try_at_each(4)
             host, other = fleet.hosts
-            await until(lambda: bool(host.belief.suspects.held))
-            (held,) = host.belief.suspects.held
+            await until(lambda: bool(host.local_state.suspects.held))
+            (held,) = host.local_state.suspects.held
             caller = await Caller.connect_to(host.settings.callers)
             assert (await caller.ask('/read/other')).status == 200
             refused = await caller.ask(HARMFUL, request_id='again')
@@ -274,9 +276,9 @@
             rows = json.loads((await client.fetch(url)).body)
             assert [row['content'] for row in rows if row['held']] == [held]
             assert rows[0]['lives'].count('@') >= 3
-            await until(lambda: bool(other.belief.suspects.held))
+            await until(lambda: bool(other.local_state.suspects.held))
             await client.fetch(f'{url}/{held}', method='DELETE')
-            await until(lambda: not other.belief.suspects.held)
+            await until(lambda: not other.local_state.suspects.held)
             missing = await client.fetch(
                 f'{url}/00',
                 method='DELETE',
--- a/tests/functional/test_store_restored.py
+++ b/tests/functional/test_store_restored.py
@@ -85,11 +85,11 @@
 
 
 def evacuated(fleet: Fleet, zone: str) -> list[bool]:
-    return [zone in host.belief.evacuated for host in fleet.hosts]
+    return [zone in host.local_state.evacuated for host in fleet.hosts]
 
 
 def host_version(fleet: Fleet) -> list[int]:
-    return [host.belief.versions.configuration for host in fleet.hosts]
+    return [host.local_state.versions.configuration for host in fleet.hosts]
 
 
 def has_version(versions: list[int], version: int) -> list[bool]:
@@ -128,7 +128,7 @@
 def names_at(fleet: Fleet) -> list[set[str]]:
     """Return the names of the upstreams that each host uses."""
     return [
-        {one.name for one in host.belief.catalog.of_service('views')}
+        {one.name for one in host.local_state.catalog.of_service('views')}
         for host in fleet.hosts
     ]
 
--- a/tests/functional/test_upstream_notices.py
+++ b/tests/functional/test_upstream_notices.py
@@ -163,8 +163,8 @@
         )
         bounds = Bounds(drain_seconds=4.0)
         async with Rig(*upstreams, bounds=bounds) as rig:
-            table = rig.gateway.belief.notices
-            lives = rig.gateway.belief.catalog.of_service('views')
+            table = rig.gateway.local_state.notices
+            lives = rig.gateway.local_state.catalog.of_service('views')
             while any(table.standing(one) is Standing.open for one in lives):
                 assert (await rig.ask('/read/x')).status == 200
             assert (await rig.ask('/order/x', 'POST', b'1')).status == 200
@@ -200,7 +200,7 @@
         upstream = UpstreamStandin('i-1', notifier.answer)
         bounds = Bounds(drain_seconds=0.01)
         async with Rig(upstream, bounds=bounds) as rig:
-            catalog = rig.gateway.belief.catalog
+            catalog = rig.gateway.local_state.catalog
             entry = upstream_spec(upstream.port)
             rig.store.put('servers', 'i-1', {**entry, 'born': 1})
             await rig.until(lambda: catalog.upstreams['i-1'].entry.born == 1)
@@ -303,9 +303,9 @@
                 )
             )
             await rig.until(lambda: len(waiting) == REQUESTS)
-            upstream = rig.gateway.belief.catalog.upstreams['i-1']
+            upstream = rig.gateway.local_state.catalog.upstreams['i-1']
             assert paused.name in waiting
-            rig.gateway.belief.notices.note_pause(upstream, PAUSE_SECONDS)
+            rig.gateway.local_state.notices.note_pause(upstream, PAUSE_SECONDS)
             may_connect.set()
             answers = await asked
             assert {answer.status for answer in answers} == {200}
--- a/tests/functional/test_watches_after_restore.py
+++ b/tests/functional/test_watches_after_restore.py
@@ -55,7 +55,8 @@
         pytest.param(
             configure,
             lambda fleet: all(
-                host.belief.versions.configuration == 9 for host in fleet.hosts
+                host.local_state.versions.configuration == 9
+                for host in fleet.hosts
             ),
             id='configuration',
         ),
@@ -80,7 +81,7 @@
             fleet.store.put('config', 'main', configuration_spec(2))
             await until(
                 lambda: all(
-                    host.belief.versions.configuration == 2
+                    host.local_state.versions.configuration == 2
                     for host in fleet.hosts
                 ),
             )
--- a/tests/functional/test_what_the_copy_lacks.py
+++ b/tests/functional/test_what_the_copy_lacks.py
@@ -29,7 +29,7 @@
 
 def has_noticed(fleet: Fleet) -> bool:
     return all(
-        host.belief.evacuations_revision.era == fleet.store.era
+        host.local_state.evacuations_revision.era == fleet.store.era
         for host in fleet.hosts
     )
 
@@ -69,12 +69,16 @@
                 )
             fleet.store.put('evacuations', ZONES[1], {})
             await until(
-                lambda: not any(host.belief.kept_zones for host in fleet.hosts)
+                lambda: (
+                    not any(host.local_state.kept_zones for host in fleet.hosts)
+                )
             )
             assert is_evacuated(fleet, ZONES[1])
             fleet.store.delete('evacuations', ZONES[1])
             await until(
-                lambda: not any(host.belief.evacuated for host in fleet.hosts)
+                lambda: (
+                    not any(host.local_state.evacuated for host in fleet.hosts)
+                )
             )
 
     run(test)
--- a/tests/lib/cut_fleet.py
+++ b/tests/lib/cut_fleet.py
@@ -60,7 +60,7 @@
     def attach(self, host: GatewayHost) -> None:
         """Have a gateway reach the upstreams by these ways."""
         host.pool.dial = self._dial
-        host.witness._probe = self._probe
+        host.exit_detector._probe = self._probe
 
     def cut(self, how: Cut, ports: Iterable[int]) -> None:
         """Cut the ways to some upstreams."""
--- a/tests/lib/fleet.py
+++ b/tests/lib/fleet.py
@@ -88,7 +88,7 @@
         return all(self._is_informed(host) for host in self.hosts)
 
     def _is_informed(self, host: GatewayHost) -> bool:
-        known = host.belief.catalog.of_service('views')
+        known = host.local_state.catalog.of_service('views')
         return (
             host.is_ready
             and len(known) == len(self.upstreams)
--- a/tests/lib/limited_service.py
+++ b/tests/lib/limited_service.py
@@ -12,7 +12,7 @@
 from lib.upstreams import ENTRY
 from wardstair.decisions.fleet_rate import LoadView
 from wardstair.decisions.ranking import Place, rank
-from wardstair.gateway.limited_sends import WAITED_SHARE, LimitedSends
+from wardstair.gateway.limited_sends import MAX_WAIT_FRACTION, LimitedSends
 from wardstair.platform.headers import ToldLimit
 from wardstair.state.limits import LimitTable
 from wardstair.state.upstream import Upstream
@@ -155,7 +155,7 @@
             if one.tries or wait >= left:
                 served.refused += 1
                 continue
-            wait = min(wait, left * WAITED_SHARE)
+            wait = min(wait, left * MAX_WAIT_FRACTION)
             again = replace(one, at=one.at + wait, tries=1)
             heapq.heappush(arrivals, again)
         return served
@@ -173,7 +173,7 @@
         by_name = {upstream.name: upstream for upstream in upstreams}
         places = [Place(name, 1.0) for name in by_name]
         ranked = [by_name[name] for name in rank(one.key, places)]
-        due = [each for each in ranked if self.sends.are_due(each, one.at)]
+        due = [each for each in ranked if self.sends.may_send(each, one.at)]
         if not due:
             return None
         self.sends.take(due[0])
--- a/tests/lib/news.py
+++ b/tests/lib/news.py
@@ -91,7 +91,7 @@
 
 def uses(host: GatewayHost, name: str) -> bool:
     """Return whether a gateway would send to an upstream."""
-    known = host.belief.catalog.of_service('views')
+    known = host.local_state.catalog.of_service('views')
     return any(upstream.name == name for upstream in known)
 
 
--- a/tests/lib/news_player.py
+++ b/tests/lib/news_player.py
@@ -670,7 +670,9 @@
 
     def _look_at(self, place: PlayedHost, host: GatewayHost) -> None:
         now = self.now
-        used = {one.name for one in host.belief.catalog.of_service(SERVICE)}
+        used = {
+            one.name for one in host.local_state.catalog.of_service(SERVICE)
+        }
         calm_since = now - self.bounds.contact_seconds
         is_held = max(place.changed_at, self.disturbed_at) <= calm_since
         for left in self.leaving:
--- a/tests/lib/paused_service.py
+++ b/tests/lib/paused_service.py
@@ -10,7 +10,7 @@
 from itertools import count
 from random import Random
 
-from wardstair.gateway.limited_sends import WAITED_SHARE
+from wardstair.gateway.limited_sends import MAX_WAIT_FRACTION
 
 # How long a caller goes on, and within what it wants its answer.
 PATIENCE = 3.0
@@ -113,7 +113,7 @@
             if not one.is_first:
                 outcome.lost += 1
                 continue
-            heeded = (one.began + PATIENCE - one.at) * WAITED_SHARE
+            heeded = (one.began + PATIENCE - one.at) * MAX_WAIT_FRACTION
             at = one.at + min(wait, heeded)
             again = replace(one, at=at, number=next(numbers), is_first=False)
             heapq.heappush(attempts, again)
--- a/tests/lib/restores.py
+++ b/tests/lib/restores.py
@@ -31,7 +31,7 @@
 
 def is_evacuated(fleet: Fleet, zone: str) -> bool:
     """Return whether a zone gets nothing from any host."""
-    return all(zone in host.belief.evacuated for host in fleet.hosts)
+    return all(zone in host.local_state.evacuated for host in fleet.hosts)
 
 
 def is_used(fleet: Fleet, upstream: str) -> list[bool]:
@@ -39,7 +39,7 @@
     return [
         any(
             one.name == upstream
-            for one in host.belief.catalog.of_service('views')
+            for one in host.local_state.catalog.of_service('views')
         )
         for host in fleet.hosts
     ]
--- a/tests/lib/rig.py
+++ b/tests/lib/rig.py
@@ -122,7 +122,7 @@
         await self._gateway.start()
         await self.until(lambda: self.gateway.is_ready)
         count = len(self.upstreams)
-        catalog = self.gateway.belief.catalog
+        catalog = self.gateway.local_state.catalog
         await self.until(lambda: len(catalog.of_service('views')) >= count)
         return self
 
--- a/tests/unit/test_telling.py
+++ b/tests/unit/test_announcing.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wardstair.gateway.telling import TELL_SECONDS, NewsTeller
+from wardstair.gateway.announcing import ANNOUNCE_DELAY_SECONDS, ChangeAnnouncer
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,7 @@
             told.append(None)
             is_told.set()
 
-        teller = NewsTeller(tell, least_seconds)
+        teller = ChangeAnnouncer(tell, least_seconds)
         for _ in range(5):
             teller.note()
         await asyncio.wait_for(is_told.wait(), 10)
@@ -36,7 +36,7 @@
         if tellings > 1:
             await asyncio.wait_for(is_told.wait(), 10)
         else:
-            await asyncio.sleep(3 * TELL_SECONDS)
+            await asyncio.sleep(3 * ANNOUNCE_DELAY_SECONDS)
         teller.close()
         assert len(told) == tellings
 
@@ -46,10 +46,10 @@
 def test_nothing_is_told_after_the_end() -> None:
     async def test() -> None:
         told: list[None] = []
-        teller = NewsTeller(lambda: told.append(None))
+        teller = ChangeAnnouncer(lambda: told.append(None))
         teller.note()
         teller.close()
-        await asyncio.sleep(2 * TELL_SECONDS)
+        await asyncio.sleep(2 * ANNOUNCE_DELAY_SECONDS)
         assert not told
 
     asyncio.run(test())
--- a/tests/unit/test_cold_after_start.py
+++ b/tests/unit/test_cold_after_start.py
@@ -35,7 +35,7 @@
 from wardstair.decisions.cold import ColdLimit, HostView
 from wardstair.fleet.members import Members
 from wardstair.gateway import host as host_module
-from wardstair.gateway.fleet_views import ZONES_SECONDS
+from wardstair.gateway.fleet_views import ZONE_DISCOVERY_SECONDS
 from wardstair.gateway.host import GatewayHost
 
 LIMIT = ColdLimit(rate=9.9, overshoot=1.5, slack=5.0)
@@ -130,12 +130,12 @@
     clock = Clock()
     monkeypatch.setattr(host_module, 'time', SimpleNamespace(monotonic=clock))
     (host,) = hosts_of_a_zone(1)
-    clock.now += 2 * ZONES_SECONDS
+    clock.now += 2 * ZONE_DISCOVERY_SECONDS
     host.members.hear(beat_of(peer_of('host-9', OWN_ZONE)))
     clock.now += host.views.settle_seconds
     host.views.refresh()
     assert host.chooser.view.is_settled
     assert not host.chooser.view.knows_zones
-    clock.now += ZONES_SECONDS
+    clock.now += ZONE_DISCOVERY_SECONDS
     host.views.refresh()
     assert host.chooser.view.knows_zones
--- a/tests/unit/test_witness.py
+++ b/tests/unit/test_exit_detection.py
@@ -10,8 +10,8 @@
 
 from wardstair.connection.probe import ProbeOutcome
 from wardstair.decisions.controls import Placed, control_groups
-from wardstair.gateway import witness as witness_module
-from wardstair.gateway.witness import Witness
+from wardstair.gateway import exit_detection
+from wardstair.gateway.exit_detection import ExitDetector
 from wardstair.state.catalog import Catalog
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
 from wardstair.state.suspects import SuspectTable
@@ -42,7 +42,7 @@
         self.catalog.replace_all([ENTRY], at(5), store_was_away=False)
         self.table = SuspectTable()
         self.outcomes = list(outcomes)
-        self.witness = Witness(
+        self.exit_detector = ExitDetector(
             self.table,
             self.newest,
             lambda: LAPSE_SECONDS,
@@ -77,7 +77,7 @@
 
     def break_off(self, request: str = 'a') -> None:
         upstream = self.catalog.upstreams['u1']
-        self.witness.note_broken(request, upstream)
+        self.exit_detector.note_broken(request, upstream)
 
     @property
     def proved(self) -> list[str]:
@@ -87,9 +87,9 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let waits take no time."""
-    monkeypatch.setattr(witness_module, 'PROBE_PAUSE_SECONDS', 0.0)
-    monkeypatch.setattr(witness_module, 'LOOK_SECONDS', 0.001)
-    monkeypatch.setattr(witness_module, 'LISTENING_SECONDS', 0.05)
+    monkeypatch.setattr(exit_detection, 'PROBE_PAUSE_SECONDS', 0.0)
+    monkeypatch.setattr(exit_detection, 'LOOK_SECONDS', 0.001)
+    monkeypatch.setattr(exit_detection, 'LISTENING_SECONDS', 0.05)
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -148,12 +148,12 @@
         case.break_off()
         await asyncio.sleep(0.01)
         then(case)
-        await until(lambda: case.witness.is_idle or bool(case.proved))
+        await until(lambda: case.exit_detector.is_idle or bool(case.proved))
         assert bool(case.proved) is is_proved
         if is_proved:
             assert set(case.table.records['a'].ended) == {'u1@100'}
         assert upstream.life == 'u1@100'
-        case.witness.close()
+        case.exit_detector.close()
 
     run(test)
 
@@ -168,7 +168,7 @@
         assert case.proved == ['a', 'b', 'c']
         # Its probes are not asked again.
         assert not case.outcomes
-        case.witness.close()
+        case.exit_detector.close()
 
     run(test)
 
@@ -181,7 +181,7 @@
         case.break_off('ended')
         await until(lambda: bool(case.proved))
         assert case.proved == ['ended']
-        case.witness.close()
+        case.exit_detector.close()
 
     run(test)
 
@@ -191,7 +191,7 @@
         case = Case()
         case.put(phase=UpstreamPhase.draining)
         case.break_off()
-        assert case.witness.is_idle
+        assert case.exit_detector.is_idle
 
     run(test)
 
@@ -213,11 +213,11 @@
         case = Case(*outcomes)
         case.break_off()
         # A broken exchange alone is no sign.
-        assert case.witness.count('a') == 0
+        assert case.exit_detector.count('a') == 0
         await until(lambda: not case.outcomes)
         await asyncio.sleep(0.02)
-        assert case.witness.count('a') == count
-        case.witness.close()
+        assert case.exit_detector.count('a') == count
+        case.exit_detector.close()
 
     run(test)
 
@@ -225,15 +225,15 @@
 def test_one_refused_connection_counts_until_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(witness_module, 'PROBE_PAUSE_SECONDS', 60.0)
+    monkeypatch.setattr(exit_detection, 'PROBE_PAUSE_SECONDS', 60.0)
 
     async def test() -> None:
         case = Case(REFUSED)
         case.break_off()
         await until(lambda: not case.outcomes)
-        await until(lambda: case.witness.count('a') == 1)
+        await until(lambda: case.exit_detector.count('a') == 1)
         assert not case.proved
-        case.witness.close()
+        case.exit_detector.close()
 
     run(test)
 
@@ -275,11 +275,11 @@
                 return await case.ask(host, port)
             return by_name[ports[port]]
 
-        case.witness._probe = ask
+        case.exit_detector._probe = ask
         case.break_off()
-        await until(lambda: case.witness.is_idle or bool(case.proved))
+        await until(lambda: case.exit_detector.is_idle or bool(case.proved))
         assert bool(case.proved) is is_proved
-        case.witness.close()
+        case.exit_detector.close()
 
     run(test)
 
--- a/tests/unit/test_gateway_settings.py
+++ b/tests/unit/test_gateway_settings.py
@@ -76,7 +76,7 @@
     assert settings.heartbeat.upstream_seconds == seconds
     assert [gap.name for gap in settings.gaps] == missing
     # Three heartbeats that did not come, and one for the word of it.
-    assert settings.heartbeat.lapse_seconds == 4 * seconds
+    assert settings.heartbeat.expiry_seconds == 4 * seconds
 
 
 def test_changed_settings_are_in_force_at_once() -> None:
--- a/tests/unit/test_joining.py
+++ b/tests/unit/test_joining.py
@@ -16,7 +16,7 @@
     UNHEARD_SECONDS,
     Members,
 )
-from wardstair.gateway.fleet_views import ZONES_SECONDS
+from wardstair.gateway.fleet_views import ZONE_DISCOVERY_SECONDS
 
 SETTLED_BEATS = 12
 # 9 zones took 7; with a name less often it was 15.
@@ -77,7 +77,7 @@
         peers = [p for zone in zones for p in zone_hosts(zone, 22)]
         wire.start(peers, [peers[0].address])
         wire.beat(ZONES_KNOWN_BEATS)
-        assert ZONES_KNOWN_BEATS < ZONES_SECONDS
+        assert ZONES_KNOWN_BEATS < ZONE_DISCOVERY_SECONDS
         for members, _radio in wire.hosts.values():
             assert members.zones() == set(zones)
 
--- a/tests/unit/test_limited_sends.py
+++ b/tests/unit/test_limited_sends.py
@@ -10,8 +10,8 @@
 
 from wardstair.decisions.fleet_rate import LoadView
 from wardstair.gateway.limited_sends import (
-    MOST_DRAWN,
-    MOST_WAIT_SECONDS,
+    MAX_WAIT_SECONDS,
+    MAX_WEIGHT_FACTOR,
     LimitedSends,
 )
 from wardstair.platform.headers import ToldLimit
@@ -88,7 +88,7 @@
         # A tenth of the callers, and the whole of the limit.
         pytest.param(0.1, 0, 10.0, id='few callers'),
         pytest.param(0.1, 100, 1.0, id='many callers'),
-        pytest.param(0.001, 0, MOST_DRAWN, id='hardly any callers'),
+        pytest.param(0.001, 0, MAX_WEIGHT_FACTOR, id='hardly any callers'),
     ],
 )
 def test_keys_are_drawn_to_hosts_that_send_for_others(
@@ -98,7 +98,7 @@
 ) -> None:
     sends, upstream = limited(0.5, part)
     now = 100.0
-    assert not sends.are_due(upstream, now)
+    assert not sends.may_send(upstream, now)
     for _ in range(20):
         now += 2.0
         for _ in range(wanted):
@@ -111,12 +111,12 @@
     clock = Clock()
     table = LimitTable(clock)
     sends, upstream = limited(0.5, 0.1, table)
-    assert not sends.are_due(upstream, 1.0)
+    assert not sends.may_send(upstream, 1.0)
     assert sends.step([upstream], 10.0)
     assert upstream.drawn > 1
     clock.now += 1
     table.note(upstream, None)
-    assert sends.are_due(upstream, 11.0)
+    assert sends.may_send(upstream, 11.0)
     assert sends.step([upstream], 20.0)
     assert upstream.drawn == 1
     assert not sends.step([upstream], 30.0)
@@ -129,8 +129,8 @@
         (2.0, 3, [1.5, 3.0, 4.5]),
         (1000.0, 1, [0.001, 0.002, 0.003]),
         # Named zero: it is asked once in ten seconds.
-        (0.0, 1, [10.0, 20.0, MOST_WAIT_SECONDS]),
-        (0.0, 1200, [MOST_WAIT_SECONDS] * 3),
+        (0.0, 1, [10.0, 20.0, MAX_WAIT_SECONDS]),
+        (0.0, 1200, [MAX_WAIT_SECONDS] * 3),
     ],
 )
 def test_each_caller_is_told_another_place(
--- a/tests/unit/test_news_troubles.py
+++ b/tests/unit/test_news_troubles.py
@@ -29,7 +29,7 @@
 def _knows(play: NewsPlay, name: str) -> bool:
     host = play.places[name].host
     assert host is not None
-    return host.belief.versions.upstreams.number >= play.store.revision
+    return host.local_state.versions.upstreams.number >= play.store.revision
 
 
 def test_still_host_learns_afterwards() -> None:
--- a/tests/unit/test_region_moves.py
+++ b/tests/unit/test_region_moves.py
@@ -20,7 +20,7 @@
 from wardstair.decisions.relief import STEP_SECONDS
 from wardstair.decisions.split import SplitTally
 from wardstair.gateway.homes import Haul, Homes, KeyAsk
-from wardstair.gateway.moving import RegionMoves
+from wardstair.gateway.region_moves import RegionMoves
 from wardstair.gateway.settings import Bounds, LiveSettings
 from wardstair.platform.objects import Metadata, StoredObject
 from wardstair.state.belief import Belief
@@ -221,6 +221,6 @@
     moves.follow(steering, share_of, 0, MOST_MOVED)
     region.steer({'views': 0.1, 'orders': 0.9})
     moves.follow(region.belief.steering, share_of, 0, MOST_MOVED)
-    assert moves.are_under_way(1, MOST_MOVED)
+    assert moves.are_in_progress(1, MOST_MOVED)
     # Nobody asks for the route's offset from here on.
-    assert not moves.are_under_way(60, MOST_MOVED)
+    assert not moves.are_in_progress(60, MOST_MOVED)
