--- a/src/wardstair/gateway/exit_detection.py
+++ b/src/wardstair/gateway/exit_detection.py
@@ -1,8 +1,8 @@
-"""Whether an upstream ended while it had a request.
+"""Detects whether an upstream process exited while it handled a request.
 
-A broken exchange alone says little: connections break, resting ones are
-forgotten, an upstream may lose an answer. An upstream that has ended does not
-listen any more, or another life of it says so.
+A broken exchange alone is weak evidence: connections break, idle connections
+are dropped, and an upstream may lose an answer. An upstream whose process has
+exited refuses connections, or a later incarnation of it is registered.
 """
 
 import asyncio
@@ -17,33 +17,37 @@
 from wardstair.state.suspects import SuspectTable
 from wardstair.state.upstream import Upstream
 
-# A live upstream that has too many connections may refuse one, hardly two in
-# turn; one that ended was seen to be back after 1.2 s at the earliest.
-PROBES = 2
+# A running upstream with too many connections may refuse one connection but
+# hardly two in a row. Upstreams that restarted were back after 1.2 s at the
+# earliest, so both probes come before that.
+PROBE_COUNT = 2
 PROBE_PAUSE_SECONDS = 0.15
-# How long the word of others is waited for where something listens: only of one
-# that was back before it was asked, which registers at once. With the way cut
-# it is the end of the entry, whose period is the deployment's.
-LISTENING_SECONDS = 2.0
-LOOK_SECONDS = 0.25
-# Exchanges of one end are noticed within a round trip or two of each other.
-SAME_END_SECONDS = 1.0
+# How long to wait for confirmation of an exit while the address accepts
+# connections. The only exit possible then is one followed by a restart before
+# the probe, and a restarted upstream registers at once. If the network path is
+# cut, the wait lasts until the upstream's entry expires, which depends on the
+# deployment's heartbeat.
+LISTENING_TIMEOUT_SECONDS = 2.0
+POLL_SECONDS = 0.25
+# Exchanges broken by one exit are noticed within a round trip or two of each
+# other.
+SAME_EXIT_SECONDS = 1.0
 
 Probe = Callable[[str, int], Awaitable[ProbeOutcome]]
 
 
 @dataclass(slots=True)
-class _Case:
-    """Exchanges with one life that broke.
+class _ExitCheck:
+    """A check of one incarnation whose exchanges broke.
 
     Attributes:
-        upstream: The life.
-        requests: Requests whose exchange broke before the upstream was asked.
-        later: Those whose exchange broke since then.
-        is_likely: Whether it has refused a connection since. A broken exchange
-            alone is no sign: where answers were lost, 40 resends a day that
-            would have been answered were withheld for it.
-        is_proved: Whether that is proved.
+        upstream: The upstream.
+        requests: Requests whose exchange broke before the upstream was probed.
+        later: Requests whose exchange broke since then.
+        is_likely: Whether the upstream has refused a connection since. A broken
+            exchange alone is not counted: where answers were lost, this
+            withheld 40 resends a day that would have been answered.
+        is_proved: Whether the exit is proved.
     """
 
     upstream: Upstream
@@ -52,20 +56,23 @@
     is_likely: bool = False
     is_proved: bool = False
 
-    def counts(self, request: str) -> bool:
-        """Return whether it counts against a request beside what is proved."""
+    def counts_against(self, request: str) -> bool:
+        """Return whether a likely exit that is not proved counts."""
         if self.is_proved or not self.is_likely:
             return False
         return request in self.requests or request in self.later
 
-    def begin_again(self) -> None:
-        """Leave those that broke while the upstream lived; ask for the rest."""
+    def start_next_round(self) -> None:
+        """Drop the exchanges that broke while the upstream was running.
+
+        The next round of probes concerns those that broke since.
+        """
         self.requests = self.later
         self.later = set()
 
 
 class ExitDetector:
-    """Follows broken exchanges up; owns the tasks that do."""
+    """Checks after broken exchanges whether the upstream has exited."""
 
     def __init__(
         self,
@@ -73,141 +80,149 @@
         newest: Callable[[str], UpstreamEntry | None],
         expiry_seconds: Callable[[], float],
         in_service: Callable[[], Iterable[UpstreamEntry]] = tuple,
-        ask: Probe = probe,
+        probe_address: Probe = probe,
     ) -> None:
-        """Prepare without a case.
+        """Create a detector without checks.
 
         Args:
-            suspects: Where proofs go.
-            newest: Returns the entry of the newest life of a name, if it is
-                registered.
-            expiry_seconds: Returns how long the entry of an upstream that ended
-                may stay.
+            suspects: Table that records proved exits.
+            newest: Returns the entry of the newest incarnation of an upstream
+                by name, or None if it is not registered.
+            expiry_seconds: Returns the time until the entry of an upstream that
+                exited has expired, in seconds.
             in_service: Returns the entries of all upstreams that take work.
-            ask: Finds out whether anything listens at an address.
+            probe_address: Finds out whether anything listens at an address.
         """
         self.suspects = suspects
         self._newest = newest
         self._lapse_seconds = expiry_seconds
         self._in_service = in_service
-        self._probe = ask
-        self._cases: dict[str, _Case] = {}
+        self._probe = probe_address
+        self._checks: dict[str, _ExitCheck] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing at all is suspected, so that no request is."""
-        return not (self._cases or self.suspects.records)
+        """Whether no exit is being checked and no request is on record."""
+        return not (self._checks or self.suspects.records)
 
     def note_broken(self, request: str, upstream: Upstream) -> None:
         """Note that an exchange ended without an answer.
 
         Args:
             request: The request's digest.
-            upstream: Who had it.
+            upstream: The upstream that it was sent to.
         """
         if not upstream.takes_work:
-            # It is leaving, or has left: its end is planned.
+            # It is leaving or has left, so its exit is planned.
             return
-        life = upstream.life
-        case = self._cases.get(life)
-        if case is None:
-            case = _Case(upstream, {request})
-            self._cases[life] = case
-            self._start(case)
+        incarnation = upstream.life
+        check = self._checks.get(incarnation)
+        if check is None:
+            check = _ExitCheck(upstream, {request})
+            self._checks[incarnation] = check
+            self._start(check)
             return
-        case.later.add(request)
-        if case.is_proved:
-            self.suspects.note_ended((request,), life)
+        check.later.add(request)
+        if check.is_proved:
+            self.suspects.note_ended((request,), incarnation)
 
     def count(self, request: str) -> int:
-        """Return lives that count against a request, likely ones included."""
-        open_cases = sum(case.counts(request) for case in self._cases.values())
-        return open_cases + self.suspects.count(request)
+        """Return how many exits, proved or likely, count against a request."""
+        open_checks = sum(
+            check.counts_against(request) for check in self._checks.values()
+        )
+        return open_checks + self.suspects.count(request)
 
     def is_suspect(self, request: str) -> bool:
-        """Return whether a request is to be sent once only, without a hedge."""
+        """Return whether a request may be sent only once, without a hedge."""
         return self.count(request) >= SUSPECT_FROM
 
     def close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in tuple(self._tasks):
             task.cancel()
 
-    def _start(self, case: _Case) -> None:
-        task = asyncio.ensure_future(self._follow_up(case))
+    def _start(self, check: _ExitCheck) -> None:
+        task = asyncio.ensure_future(self._run_check(check))
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
 
     def _on_done(self, task: 'asyncio.Task[None]') -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            # A fault of ours; the next broken exchange begins a new case.
+            # An internal error; the next broken exchange starts a new check.
             log_warning('witness-failed', error=repr(task.exception()))
 
-    async def _follow_up(self, case: _Case) -> None:
+    async def _run_check(self, check: _ExitCheck) -> None:
         try:
-            if await self._has_ended(case):
-                self._prove(case)
-                await asyncio.sleep(SAME_END_SECONDS)
+            if await self._detect_exit(check):
+                self._prove(check)
+                await asyncio.sleep(SAME_EXIT_SECONDS)
         finally:
-            self._cases.pop(case.upstream.life, None)
-
-    async def _has_ended(self, case: _Case) -> bool:
-        """Ask after each break until it has ended, or nothing more is said."""
-        while case.requests:
-            outcome = await self._asked(case)
-            is_reached = outcome is ProbeOutcome.listening
-            if not is_reached and not await self._reaches_others(
-                case.upstream.entry,
+            self._checks.pop(check.upstream.life, None)
+
+    async def _detect_exit(self, check: _ExitCheck) -> bool:
+        """Probe until the exit is proved or no later exchange has broken."""
+        while check.requests:
+            outcome = await self._probe_upstream(check)
+            is_listening = outcome is ProbeOutcome.listening
+            if not is_listening and not await self._reaches_comparison_group(
+                check.upstream.entry,
             ):
-                # The exchange may have broken on a way that is cut.
+                # The exchange may have broken because the network path is cut.
                 return False
             if outcome is ProbeOutcome.refused:
                 return True
-            case.is_likely = False
-            if await self._wait_for_word(case, outcome):
+            check.is_likely = False
+            if await self._wait_for_confirmation(check, outcome):
                 return True
-            case.begin_again()
+            check.start_next_round()
         return False
 
-    async def _wait_for_word(self, case: _Case, outcome: ProbeOutcome) -> bool:
-        """Return whether others say so; False once there is more to ask."""
+    async def _wait_for_confirmation(
+        self, check: _ExitCheck, outcome: ProbeOutcome
+    ) -> bool:
+        """Wait until the exit is confirmed; stop at the next broken exchange.
+
+        Returns:
+            Whether it was confirmed.
+        """
         loop = asyncio.get_running_loop()
-        end = loop.time() + LISTENING_SECONDS
+        end = loop.time() + LISTENING_TIMEOUT_SECONDS
         if outcome is ProbeOutcome.unknown:
             end = loop.time() + self._lapse_seconds()
-        while loop.time() < end and not case.later:
-            if self._is_told(case.upstream, outcome):
+        while loop.time() < end and not check.later:
+            if self._is_exit_confirmed(check.upstream, outcome):
                 return True
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
         return False
 
-    async def _asked(self, case: _Case) -> ProbeOutcome:
-        entry = case.upstream.entry
+    async def _probe_upstream(self, check: _ExitCheck) -> ProbeOutcome:
+        entry = check.upstream.entry
         outcome = ProbeOutcome.unknown
-        for number in range(PROBES):
+        for number in range(PROBE_COUNT):
             if number:
                 await asyncio.sleep(PROBE_PAUSE_SECONDS)
             outcome = await self._probe(entry.host, entry.port)
             if outcome is not ProbeOutcome.refused:
                 return outcome
-            case.is_likely = True
+            check.is_likely = True
         return outcome
 
-    async def _reaches_others(self, refused: UpstreamEntry) -> bool:
-        """Return whether upstreams near one that refuses are reached."""
+    async def _reaches_comparison_group(self, refused: UpstreamEntry) -> bool:
+        """Return whether upstreams comparable to one that refuses answer."""
         others = {
             entry.name: entry
             for entry in self._in_service()
             if entry.name != refused.name
         }
         groups = control_groups(
-            _placed(refused),
-            [_placed(entry) for entry in others.values()],
+            _location_of(refused),
+            [_location_of(entry) for entry in others.values()],
         )
-        controls = {name for group in groups for name in group}
-        asked = [others[name] for name in controls]
+        probed_names = {name for group in groups for name in group}
+        asked = [others[name] for name in probed_names]
         outcomes = await asyncio.gather(
             *(self._probe(entry.host, entry.port) for entry in asked),
         )
@@ -216,21 +231,23 @@
             for entry, outcome in zip(asked, outcomes, strict=True)
             if outcome is ProbeOutcome.listening
         }
-        is_reaching = all(reached.intersection(group) for group in groups)
-        if not is_reaching:
+        is_path_working = all(reached.intersection(group) for group in groups)
+        if not is_path_working:
             log_event(
                 'end-not-proved',
                 upstream=refused.name,
-                asked=','.join(sorted(controls)),
+                asked=','.join(sorted(probed_names)),
                 reached=','.join(sorted(reached)),
             )
-        return is_reaching
+        return is_path_working
 
-    def _is_told(self, upstream: Upstream, outcome: ProbeOutcome) -> bool:
-        """Return whether others say that this life has ended.
+    def _is_exit_confirmed(
+        self, upstream: Upstream, outcome: ProbeOutcome
+    ) -> bool:
+        """Return whether other sources show that this incarnation has exited.
 
-        An entry that goes while something listens tells nothing: its upstream
-        may leave without a word and serve on.
+        The removal of an entry while its address accepts connections proves
+        nothing: the upstream may deregister and continue to serve.
         """
         if upstream.has_ended:
             return True
@@ -239,17 +256,17 @@
             return newest.born > upstream.entry.born
         return outcome is ProbeOutcome.unknown and upstream.gone_at is not None
 
-    def _prove(self, case: _Case) -> None:
-        case.is_proved = True
-        requests = case.requests | case.later
+    def _prove(self, check: _ExitCheck) -> None:
+        check.is_proved = True
+        requests = check.requests | check.later
         log_event(
             'upstream-ended',
-            upstream=case.upstream.name,
-            born=case.upstream.entry.born,
+            upstream=check.upstream.name,
+            born=check.upstream.entry.born,
             contents=','.join(sorted(requests)),
         )
-        self.suspects.note_ended(requests, case.upstream.life)
+        self.suspects.note_ended(requests, check.upstream.life)
 
 
-def _placed(entry: UpstreamEntry) -> Placed:
+def _location_of(entry: UpstreamEntry) -> Placed:
     return Placed(entry.name, entry.service, entry.zone)
--- a/src/wardstair/gateway/gauges.py
+++ b/src/wardstair/gateway/gauges.py
@@ -1,6 +1,6 @@
-"""Gauges of a gateway: what it believes, how old that is, what it is doing.
+"""Registers the metrics of a gateway: state, age of the state and activity.
 
-They are read when metrics are scraped and cost nothing between.
+Values are computed only when metrics are scraped.
 """
 
 import time
@@ -19,11 +19,11 @@
 
 
 def add_line_counts(metrics: Metrics, sink: LineSink) -> None:
-    """Add what is known of log lines that the reader was too slow for.
+    """Add the counts of log lines that are dropped or waiting.
 
     Args:
         metrics: The metrics of the process.
-        sink: Where its log lines go.
+        sink: The output for its log lines.
     """
     metrics.add_count(
         'wardstair_log_lines_dropped',
@@ -38,18 +38,18 @@
 
 
 def add_gauges(host: 'GatewayHost') -> None:
-    """Add the gauges of a gateway to its metrics."""
+    """Add the gauges and counters of a gateway to its metrics."""
     metrics = host.metrics
-    belief = host.local_state
+    local_state = host.local_state
     metrics.add_gauge(
         'wardstair_configuration_version',
         'Version of the configuration in force; -1 for none',
-        lambda: [(float(belief.versions.configuration), {})],
+        lambda: [(float(local_state.versions.configuration), {})],
     )
     metrics.add_gauge(
         'wardstair_configuration_age_seconds',
         'Seconds since the version in force was adopted',
-        lambda: [(time.monotonic() - belief.adopted_at, {})],
+        lambda: [(time.monotonic() - local_state.adopted_at, {})],
     )
     metrics.add_gauge(
         'wardstair_store_age_seconds',
@@ -74,7 +74,7 @@
     metrics.add_gauge(
         'wardstair_settings_missing',
         'What stands in for a setting that the file does not give',
-        lambda: _gaps(host),
+        lambda: _missing_settings(host),
     )
     metrics.add_gauge(
         'wardstair_sentinel',
@@ -147,7 +147,7 @@
     metrics.add_gauge(
         'wardstair_state_age_seconds',
         'Time since the state of this host was known to be complete',
-        lambda: [(belief.age.seconds, {})],
+        lambda: [(local_state.age.seconds, {})],
     )
     metrics.add_count(
         'wardstair_state_refreshes',
@@ -167,24 +167,25 @@
     metrics.add_count(
         'wardstair_watches_renewed',
         'Waiting watches of the store that were given up, by kind and reason',
-        lambda: _renewals(host),
+        lambda: _watch_renewals(host),
     )
     metrics.add_gauge(
         'wardstair_upstream_groups_lost',
         'Groups of upstreams of which this host reaches none; `*`: all',
-        lambda: [(1.0, {'group': group}) for group in belief.reach.lost],
+        lambda: [(1.0, {'group': group}) for group in local_state.reach.lost],
     )
     metrics.add_gauge(
         'wardstair_upstream_groups_closed',
         'Groups of upstreams to which new connections fail; `*`: all',
         lambda: [
-            (1.0, {'group': group}) for group in belief.reach.opening.closed
+            (1.0, {'group': group})
+            for group in local_state.reach.opening.closed
         ],
     )
     metrics.add_count(
         'wardstair_reach_doubts',
         'Times that no upstream might have been within reach',
-        lambda: [(float(belief.reach.doubts), {})],
+        lambda: [(float(local_state.reach.doubts), {})],
     )
     metrics.add_count(
         'wardstair_reach_probes',
@@ -229,7 +230,7 @@
     ]
 
 
-def _renewals(host: 'GatewayHost') -> list[Row]:
+def _watch_renewals(host: 'GatewayHost') -> list[Row]:
     return [
         (float(count), {'kind': follower.kind, 'reason': reason.value})
         for follower in host.sync.followers
@@ -266,7 +267,7 @@
     ]
 
 
-def _gaps(host: 'GatewayHost') -> list[Row]:
+def _missing_settings(host: 'GatewayHost') -> list[Row]:
     gaps = host.live_settings.current.gaps
     return [(gap.used, {'setting': gap.name}) for gap in gaps]
 
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -1,4 +1,4 @@
-"""The gateway process: its parts, their tasks, start and stop."""
+"""Assembles, starts and stops the components of a gateway process."""
 
 import asyncio
 import time
@@ -69,28 +69,31 @@
 from wardstair.state.suspect_sharing import SuspectSharing
 from wardstair.state.sync import StoreSync
 
-# How often what is past is swept out: connections, missing upstreams.
+# Interval at which idle connections and expired records are removed.
 SWEEP_SECONDS = 0.5
-# When the whole fleet starts for the first time, no caller waits yet: only the
-# hosts that are relays then need to read the store. A host that starts into
-# traffic waits until another has answered, 0.3 s at most: from then on it knows
-# whether it is a relay, and gets from others what they have.
-FIRST_LISTING_SECONDS = 1.2
-# Part of an upstream's connections that the fleet uses.
-CONNECTION_SHARE = 0.8
-LEAST_CONNECTIONS = 4
-# Left of the grace period when the process ends by itself.
-GRACE_LEFT_SECONDS = 0.5
-# An upstream that names another limit in each answer would have ten heartbeats
-# sent a second to everybody; those of each second tell of it as well.
-LIMIT_NEWS_SECONDS = 1.0
-# What closing the sockets may take of that.
-CLOSE_SECONDS = 0.1
-# Offset of the port for reports of demand from the first port of the fleet.
+# On the first start of the whole fleet no callers are waiting, so hosts delay
+# reading the store until the relays are known; only relays need to read it. A
+# host that joins a running fleet waits only for the first answer of another
+# host, 0.3 s at most. By then it knows whether it is a relay, and it receives
+# state from the others.
+FIRST_START_DELAY_SECONDS = 1.2
+# Fraction of an upstream's connection limit that the fleet uses.
+CONNECTION_FRACTION = 0.8
+MIN_CONNECTIONS = 4
+# The process exits this long before the grace period ends.
+GRACE_MARGIN_SECONDS = 0.5
+# Minimum interval between extra heartbeats for changed limits. An upstream that
+# reports a different limit in each answer would otherwise cause ten heartbeats
+# a second to every host. The regular heartbeats, one a second, carry the limits
+# as well.
+LIMIT_ANNOUNCE_INTERVAL_SECONDS = 1.0
+# Part of that margin that closing the sockets may take.
+CLOSE_TIMEOUT_SECONDS = 0.1
+# Offset of the port for demand reports from the first fleet port.
 DEMAND_PORT_OFFSET = 1
-# A stopping host takes new callers for this long: most keep look-ups for two
-# seconds, and connect on them meanwhile. Those that keep them for longer are
-# refused the connection and go to another address.
+# A stopping host accepts new connections for this long. Most callers cache
+# look-ups for two seconds and still connect to this host meanwhile. Callers
+# that cache them longer are refused the connection and try another address.
 LINGER_SECONDS = 2.5
 
 
@@ -98,7 +101,7 @@
     """One gateway process."""
 
     def __init__(self, settings: GatewaySettings, random: Random) -> None:
-        """Assemble the parts without opening a socket.
+        """Assemble the components without opening a socket.
 
         Args:
             settings: Settings of this host.
@@ -156,7 +159,7 @@
         self.radio.sentinel_seconds = lambda: (
             self.live_settings.current.timing.sentinel_beat
         )
-        self.contact.on_doubt = self._on_doubt
+        self.contact.on_doubt = self._on_contact_suspicion
         roles = Roles(
             lambda: self.members.is_relay,
             lambda: self.is_sentinel,
@@ -182,14 +185,14 @@
         )
         self.radio.on_beat = self._on_beat
         self.radio.on_state = self.exchange.take_datagram
-        self._news = UpdateSender(
+        self._updates = UpdateSender(
             self.radio,
             self.exchange,
             roles,
             lambda: self.live_settings.current.timing,
         )
-        self.exchange.on_news = self._news.send_update
-        self.sync.on_news = self._news.send_update
+        self.exchange.on_news = self._updates.send_update
+        self.sync.on_news = self._updates.send_update
         self.refresher = StateRefresher(
             self.sync,
             self.local_state,
@@ -206,7 +209,7 @@
             is_first_start=settings.is_first_start,
         )
         distances = Distances(self.live_settings)
-        self.pool = UpstreamPool(self._most_connections)
+        self.pool = UpstreamPool(self._max_connections)
         self.handover = Handover(
             self.members,
             self.live_settings,
@@ -238,23 +241,23 @@
             lambda: not self.chooser.limited_sends.is_idle,
         )
         self.radio.zone_loads = self.loads.told
-        self._suspect_teller = ChangeAnnouncer(self.radio.send_beats)
-        self._limit_teller = ChangeAnnouncer(
+        self._suspect_announcer = ChangeAnnouncer(self.radio.send_beats)
+        self._limit_announcer = ChangeAnnouncer(
             self.radio.send_beats,
-            LIMIT_NEWS_SECONDS,
+            LIMIT_ANNOUNCE_INTERVAL_SECONDS,
         )
-        self._reach_teller = ChangeAnnouncer(self.radio.send_beats)
+        self._reachability_announcer = ChangeAnnouncer(self.radio.send_beats)
         self.local_state.limits.on_change = self._on_limits
-        self._life_ends = IncarnationEvents(
+        self._incarnations = IncarnationEvents(
             self.local_state,
             self.pool,
             self.chooser,
-            self._suspect_teller,
+            self._suspect_announcer,
             self.suspect_sharing.changed,
         )
         self.exit_detector = ExitDetector(
             self.local_state.suspects,
-            self._life_ends.newest,
+            self._incarnations.newest,
             lambda: self.live_settings.current.heartbeat.expiry_seconds,
             lambda: self.local_state.catalog.in_service,
         )
@@ -281,7 +284,9 @@
         )
         self.demand_radio.far_addresses = lambda: self.radio.far_addresses
         self.demand_radio.on_reported = self.quotas.note_reported
-        self._freshness = ConfigurationFreshness(clock, self._hears_store)
+        self._freshness = ConfigurationFreshness(
+            clock, self._is_store_reachable
+        )
         self.forwarder = Forwarder(
             self.local_state,
             self.chooser,
@@ -299,7 +304,7 @@
                 reporter,
             ),
         )
-        self.reachability_monitor.on_doubt = self.forwarder.hand_on_waiting
+        self.reachability_monitor.on_suspected = self.forwarder.hand_on_waiting
         self.directory = Directory(self.live_settings, own, self.members)
         self.callers = CallerListener(
             self._serve_caller,
@@ -317,12 +322,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether callers should connect to this host."""
         return self.local_state.steering is not None and not self._is_stopping
 
     @property
     def is_sentinel(self) -> bool:
-        """Whether this host watches the store closely for the others."""
+        """Whether this host is a sentinel, which watches the store closely."""
         return self._sentinel_rank is not None
 
     @property
@@ -376,7 +381,10 @@
         )
 
     async def stop(self) -> None:
-        """Leave without cutting a request, within the grace period."""
+        """Drain and shut down within the grace period.
+
+        Requests in progress are completed unless the grace period ends first.
+        """
         if self._is_stopping:
             return
         self._is_stopping = True
@@ -390,30 +398,30 @@
         self._listeners.stop_callers()
         self.callers.close_resting()
         grace = self.live_settings.current.bounds.grace_seconds
-        end = began + grace - GRACE_LEFT_SECONDS
+        end = began + grace - GRACE_MARGIN_SECONDS
         self.relays.is_stopping = True
         await self.callers.wait_idle(end - self._clock())
         await self.relays.wait_idle(end - self._clock())
         log_event('host-stopped', cut=self.callers.open_count)
         try:
-            async with asyncio.timeout(CLOSE_SECONDS):
+            async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
                 await self.close()
         except TimeoutError:
-            # A caller that does not read keeps its connection from closing;
-            # the end of the process closes it.
-            log_warning('host-close-unfinished', seconds=CLOSE_SECONDS)
+            # A connection whose caller does not read cannot be closed
+            # gracefully. It closes when the process exits.
+            log_warning('host-close-unfinished', seconds=CLOSE_TIMEOUT_SECONDS)
 
     async def close(self) -> None:
-        """End the tasks and close all sockets at once."""
+        """Stop all tasks and close all sockets immediately."""
         if self._is_closed:
             return
         self._is_closed = True
         await self._supervisor.stop()
         self.exit_detector.close()
-        self._suspect_teller.close()
-        self._limit_teller.close()
-        self._reach_teller.close()
-        self._news.close()
+        self._suspect_announcer.close()
+        self._limit_announcer.close()
+        self._reachability_announcer.close()
+        self._updates.close()
         await self._listeners.close()
         self.radio.stop()
         self.demand_radio.stop()
@@ -425,7 +433,10 @@
         self.store.close()
 
     def adopt_settings(self, settings: GatewaySettings) -> list[str]:
-        """Take over changed settings; sockets stay as they are bound.
+        """Apply changed settings. Sockets keep their addresses and ports.
+
+        Args:
+            settings: The new settings.
 
         Returns:
             Names of the settings that have changed.
@@ -445,17 +456,17 @@
         self.quotas.forget(steering.organisations.by_name)
         self._listeners.limit_callers(steering.limits)
 
-    def _most_connections(self, name: str) -> int:
+    def _max_connections(self, name: str) -> int:
         steering = self.local_state.steering
         upstream = self.local_state.catalog.upstreams.get(name)
         if steering is None or upstream is None:
-            return LEAST_CONNECTIONS
+            return MIN_CONNECTIONS
         service = steering.services.get(upstream.entry.service)
         if service is None:
-            return LEAST_CONNECTIONS
+            return MIN_CONNECTIONS
         hosts = self.chooser.view.fleet_size
-        share = service.most_connections * CONNECTION_SHARE / hosts
-        return max(LEAST_CONNECTIONS, int(share))
+        share = service.most_connections * CONNECTION_FRACTION / hosts
+        return max(MIN_CONNECTIONS, int(share))
 
     async def _sweep(self) -> None:
         while True:
@@ -497,7 +508,7 @@
             return 0
         return ENOUGH_HOSTS * len(self.live_settings.current.zones)
 
-    def _hears_store(self) -> bool:
+    def _is_store_reachable(self) -> bool:
         if self.contact.is_held:
             return True
         return any(one.hears_store for one in self.members.live())
@@ -505,12 +516,12 @@
     def _configuration_freshness(self) -> Freshness:
         bounds = self.live_settings.current.organisation_bounds
         is_expired = self._freshness.age > bounds.revoke_seconds
-        return Freshness(self._hears_store(), is_expired)
+        return Freshness(self._is_store_reachable(), is_expired)
 
     def _follow(self, follower: Follower) -> Callable[[], Awaitable[None]]:
         async def follow() -> None:
             if self.settings.is_first_start:
-                await asyncio.sleep(FIRST_LISTING_SECONDS)
+                await asyncio.sleep(FIRST_START_DELAY_SECONDS)
             await self.radio.is_greeted.wait()
             await follower.run()
 
@@ -526,15 +537,17 @@
         self.exchange.on_beat(beat)
 
     def _on_limits(self) -> None:
-        """Have others know of a limit, and divide it."""
-        self._limit_teller.note()
+        """Announce a changed limit and compute this host's share of it."""
+        self._limit_announcer.note()
         if not self.chooser.load_view.is_settled:
-            # The first one; later ones wait for the next sweep.
+            # The first limit takes effect at once, later ones at the next
+            # sweep.
             self.views.refresh_loads()
 
     async def _serve_caller(self, inbound: Inbound) -> Reply:
         if not self.local_state.reach.is_cut_off:
-            # Otherwise it counts at the host that it is handed on to.
+            # A host that is cut off forwards the request to a peer, which
+            # counts it.
             self.loads.note_request()
         return await self.forwarder.serve(inbound)
 
@@ -543,22 +556,25 @@
         return await self.forwarder.serve_relayed(relayed)
 
     def _on_reach(self) -> None:
-        """Have others know what this host does not reach."""
+        """Announce which upstream groups this host cannot reach."""
         reach = self.local_state.reach
         self.members.lost = reach.lost
         if reach.is_cut_off:
-            # Open connections may have gone silent with the rest.
+            # Connections that are still open may be dead as well.
             self.pool.close()
-        self._reach_teller.note()
+        self._reachability_announcer.note()
 
     def _on_regained(self, groups: frozenset[str]) -> None:
-        """Drop what was learned of upstreams while the way to them was cut."""
+        """Discard failures recorded while the upstreams were unreachable."""
         for group in groups:
             for entry in self.local_state.reach.members_of(group):
                 self.local_state.catalog.upstreams[entry.name].forgive()
 
-    def _on_doubt(self) -> None:
-        """Let others watch the store while this sentinel doubts its contact."""
+    def _on_contact_suspicion(self) -> None:
+        """Announce that a sentinel's contact became uncertain or certain.
+
+        While it is uncertain, other hosts watch the store in its place.
+        """
         if self.is_sentinel:
             self.radio.send_beats()
 
--- a/src/wardstair/gateway/reachability.py
+++ b/src/wardstair/gateway/reachability.py
@@ -52,7 +52,7 @@
             random: Source of the choice of whom to ask.
         """
         self.probes = 0
-        self.on_doubt = ignore
+        self.on_suspected = ignore
         self._reach = belief.reach
         self._belief = belief
         self._pool = pool
@@ -92,7 +92,7 @@
 
     def _note_doubt(self) -> None:
         self._doubted.set()
-        self.on_doubt()
+        self.on_suspected()
 
     async def _wait(self) -> None:
         reach = self._reach
--- a/tests/unit/test_exit_detection.py
+++ b/tests/unit/test_exit_detection.py
@@ -1,4 +1,4 @@
-"""What proves that an upstream ended while it had a request."""
+"""Which evidence proves that an upstream exited while it handled a request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -19,7 +19,7 @@
 REFUSED = ProbeOutcome.refused
 LISTENING = ProbeOutcome.listening
 UNKNOWN = ProbeOutcome.unknown
-LAPSE_SECONDS = 0.05
+EXPIRY_SECONDS = 0.05
 ENTRY = UpstreamEntry(
     'u1',
     'views',
@@ -35,7 +35,7 @@
 
 
 class Case:
-    """A witness beside a catalog with one upstream."""
+    """An exit detector with a catalog of one upstream."""
 
     def __init__(self, *outcomes: ProbeOutcome) -> None:
         self.catalog = Catalog(lambda: 1.0)
@@ -45,7 +45,7 @@
         self.exit_detector = ExitDetector(
             self.table,
             self.newest,
-            lambda: LAPSE_SECONDS,
+            lambda: EXPIRY_SECONDS,
             lambda: self.catalog.in_service,
             self.ask,
         )
@@ -72,7 +72,7 @@
         self.catalog.apply([entry], [], at(6), store_was_away=False)
 
     def remove(self) -> None:
-        # A request is still at it, so that its object stays.
+        # The upstream still has a request, so its object stays.
         self.catalog.apply([], ['u1'], at(6), store_was_away=False)
 
     def break_off(self, request: str = 'a') -> None:
@@ -85,11 +85,11 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let waits take no time."""
+def skip_waits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shorten all waits."""
     monkeypatch.setattr(exit_detection, 'PROBE_PAUSE_SECONDS', 0.0)
-    monkeypatch.setattr(exit_detection, 'LOOK_SECONDS', 0.001)
-    monkeypatch.setattr(exit_detection, 'LISTENING_SECONDS', 0.05)
+    monkeypatch.setattr(exit_detection, 'POLL_SECONDS', 0.001)
+    monkeypatch.setattr(exit_detection, 'LISTENING_TIMEOUT_SECONDS', 0.05)
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -100,46 +100,58 @@
     asyncio.run(main())
 
 
-def nothing(_case: Case) -> None:
-    """Let nothing else be known."""
+def no_change(_case: Case) -> None:
+    """Leave the catalog as it is."""
 
 
-def other_at_address(case: Case) -> None:
+def address_reused(case: Case) -> None:
     case.catalog.mark_gone('u1')
 
 
-def new_life(case: Case) -> None:
+def new_incarnation(case: Case) -> None:
     case.put(born=200)
 
 
-def new_word(case: Case) -> None:
+def entry_updated(case: Case) -> None:
     case.put(slots=5)
 
 
-def entry_goes(case: Case) -> None:
+def entry_removed(case: Case) -> None:
     case.remove()
 
 
 @pytest.mark.parametrize(
-    ('outcomes', 'then', 'is_proved'),
+    ('outcomes', 'change', 'is_proved'),
     [
-        pytest.param([REFUSED, REFUSED], nothing, True, id='nobody listens'),
-        pytest.param([REFUSED, LISTENING], nothing, False, id='it was full'),
-        pytest.param([LISTENING], nothing, False, id='only a connection broke'),
-        pytest.param([LISTENING], new_life, True, id='started again already'),
-        pytest.param([LISTENING], other_at_address, True, id='address taken'),
-        pytest.param([LISTENING], new_word, False, id='its word goes on'),
-        pytest.param([LISTENING], entry_goes, False, id='leaves unannounced'),
-        pytest.param([UNKNOWN], nothing, False, id='the way is cut'),
         pytest.param(
-            [UNKNOWN], entry_goes, True, id='cut, then its entry goes'
+            [REFUSED, REFUSED], no_change, True, id='connections refused'
+        ),
+        pytest.param(
+            [REFUSED, LISTENING], no_change, False, id='too many connections'
+        ),
+        pytest.param(
+            [LISTENING], no_change, False, id='only a connection broke'
+        ),
+        pytest.param(
+            [LISTENING], new_incarnation, True, id='restarted already'
+        ),
+        pytest.param([LISTENING], address_reused, True, id='address reused'),
+        pytest.param([LISTENING], entry_updated, False, id='entry renewed'),
+        pytest.param(
+            [LISTENING], entry_removed, False, id='deregistered without notice'
+        ),
+        pytest.param([UNKNOWN], no_change, False, id='path is cut'),
+        pytest.param(
+            [UNKNOWN], entry_removed, True, id='path is cut, then entry expires'
+        ),
+        pytest.param(
+            [UNKNOWN], new_incarnation, True, id='path is cut, then restarted'
         ),
-        pytest.param([UNKNOWN], new_life, True, id='cut, then a new life'),
     ],
 )
-def test_what_proves_an_end(
+def test_what_proves_an_exit(
     outcomes: list[ProbeOutcome],
-    then: Callable[[Case], None],
+    change: Callable[[Case], None],
     is_proved: bool,
 ) -> None:
     async def test() -> None:
@@ -147,7 +159,7 @@
         upstream = case.catalog.upstreams['u1']
         case.break_off()
         await asyncio.sleep(0.01)
-        then(case)
+        change(case)
         await until(lambda: case.exit_detector.is_idle or bool(case.proved))
         assert bool(case.proved) is is_proved
         if is_proved:
@@ -158,7 +170,7 @@
     run(test)
 
 
-def test_all_that_it_had_are_told_also_those_noticed_later() -> None:
+def test_an_exit_counts_against_all_requests_also_those_noticed_later() -> None:
     async def test() -> None:
         case = Case(REFUSED, REFUSED)
         case.break_off('a')
@@ -166,27 +178,29 @@
         await until(lambda: bool(case.proved))
         case.break_off('c')
         assert case.proved == ['a', 'b', 'c']
-        # Its probes are not asked again.
+        # No further probe is sent.
         assert not case.outcomes
         case.exit_detector.close()
 
     run(test)
 
 
-def test_an_end_soon_after_a_broken_link_is_charged_to_whom_it_hit() -> None:
+def test_an_exit_after_a_broken_connection_counts_against_later_requests() -> (
+    None
+):
     async def test() -> None:
         case = Case(LISTENING, REFUSED, REFUSED)
-        case.break_off('broken link')
+        case.break_off('broken connection')
         await until(lambda: len(case.outcomes) == 2)
-        case.break_off('ended')
+        case.break_off('exited')
         await until(lambda: bool(case.proved))
-        assert case.proved == ['ended']
+        assert case.proved == ['exited']
         case.exit_detector.close()
 
     run(test)
 
 
-def test_a_leaving_upstream_ends_by_plan() -> None:
+def test_the_exit_of_a_leaving_upstream_is_not_checked() -> None:
     async def test() -> None:
         case = Case()
         case.put(phase=UpstreamPhase.draining)
@@ -199,20 +213,22 @@
 @pytest.mark.parametrize(
     ('outcomes', 'count'),
     [
-        pytest.param([UNKNOWN], 0, id='nothing learned'),
-        pytest.param([LISTENING], 0, id='it lives'),
-        pytest.param([REFUSED, LISTENING], 0, id='it was full for a moment'),
+        pytest.param([UNKNOWN], 0, id='no evidence'),
+        pytest.param([LISTENING], 0, id='still running'),
+        pytest.param(
+            [REFUSED, LISTENING], 0, id='too many connections for a moment'
+        ),
         pytest.param([REFUSED, REFUSED], 1, id='proved'),
     ],
 )
-def test_what_counts_once_it_was_asked(
+def test_what_counts_after_the_probes(
     outcomes: list[ProbeOutcome],
     count: int,
 ) -> None:
     async def test() -> None:
         case = Case(*outcomes)
         case.break_off()
-        # A broken exchange alone is no sign.
+        # A broken exchange alone does not count.
         assert case.exit_detector.count('a') == 0
         await until(lambda: not case.outcomes)
         await asyncio.sleep(0.02)
@@ -222,7 +238,7 @@
     run(test)
 
 
-def test_one_refused_connection_counts_until_the_next(
+def test_a_refused_connection_counts_until_the_next_probe(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(exit_detection, 'PROBE_PAUSE_SECONDS', 60.0)
@@ -238,24 +254,24 @@
     run(test)
 
 
-BOTH = Placed('both', 'views', 'z')
-NEAR = Placed('near', 'orders', 'z')
-ALIKE = Placed('alike', 'views', 'y')
+SAME_ZONE_AND_SERVICE = Placed('both', 'views', 'z')
+SAME_ZONE = Placed('near', 'orders', 'z')
+SAME_SERVICE = Placed('alike', 'views', 'y')
 
 
 @pytest.mark.parametrize(
     ('others', 'outcomes', 'is_proved'),
     [
-        ([BOTH], [LISTENING], True),
-        ([BOTH], [REFUSED], False),
-        ([BOTH], [UNKNOWN], False),
-        ([NEAR, ALIKE], [LISTENING, LISTENING], True),
-        # Cut off from the zone, or from the service.
-        ([NEAR, ALIKE], [REFUSED, LISTENING], False),
-        ([NEAR, ALIKE], [LISTENING, REFUSED], False),
+        ([SAME_ZONE_AND_SERVICE], [LISTENING], True),
+        ([SAME_ZONE_AND_SERVICE], [REFUSED], False),
+        ([SAME_ZONE_AND_SERVICE], [UNKNOWN], False),
+        ([SAME_ZONE, SAME_SERVICE], [LISTENING, LISTENING], True),
+        # The zone or the service is unreachable.
+        ([SAME_ZONE, SAME_SERVICE], [REFUSED, LISTENING], False),
+        ([SAME_ZONE, SAME_SERVICE], [LISTENING, REFUSED], False),
     ],
 )
-def test_an_end_is_proved_only_by_who_reaches_others(
+def test_an_exit_is_proved_only_if_comparable_upstreams_answer(
     others: list[Placed],
     outcomes: list[ProbeOutcome],
     is_proved: bool,
@@ -289,12 +305,12 @@
     [
         ([], []),
         ([Placed('far', 'orders', 'y')], []),
-        ([BOTH], [('both',), ('both',)]),
-        ([NEAR, BOTH], [('both', 'near'), ('both',)]),
-        ([ALIKE, NEAR], [('near',), ('alike',)]),
+        ([SAME_ZONE_AND_SERVICE], [('both',), ('both',)]),
+        ([SAME_ZONE, SAME_ZONE_AND_SERVICE], [('both', 'near'), ('both',)]),
+        ([SAME_SERVICE, SAME_ZONE], [('near',), ('alike',)]),
     ],
 )
-def test_controls_are_of_the_zone_and_of_the_service(
+def test_comparison_groups_are_of_the_zone_and_of_the_service(
     others: list[Placed],
     groups: list[tuple[str, ...]],
 ) -> None:
