--- a/src/wardstair/gateway/__init__.py
+++ b/src/wardstair/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry host that forwards requests to the upstreams of all zones."""
+"""The entry host, which forwards requests to the upstreams of all zones."""
--- a/src/wardstair/gateway/announcing.py
+++ b/src/wardstair/gateway/announcing.py
@@ -1,49 +1,50 @@
-"""Tells other hosts soon that this one has learned something."""
+"""Announces changes of this host's state to other hosts after a short delay."""
 
 import asyncio
 from collections.abc import Callable
 
-# How long a host waits for more before it tells: requests that end an upstream
-# are broken off together, and upstreams in need come in series.
+# Time during which further changes are collected before an announcement. The
+# requests of an upstream that exits fail together, and overloaded upstreams
+# report limits in quick succession.
 ANNOUNCE_DELAY_SECONDS = 0.1
 
 
 class ChangeAnnouncer:
-    """Sends heartbeats to everybody a moment after there are news."""
+    """Sends heartbeats to all hosts shortly after a change."""
 
     def __init__(
         self,
         announce: Callable[[], None],
-        least_seconds: float = 0.0,
+        min_interval_seconds: float = 0.0,
     ) -> None:
-        """Prepare with nothing to tell.
+        """Create an announcer without a pending announcement.
 
         Args:
-            announce: Sends heartbeats to everybody who should have one.
-            least_seconds: The least time from one telling to the next.
+            announce: Sends heartbeats to all hosts that should get one.
+            min_interval_seconds: Minimum time in seconds between two announcements.
         """
         self.announce = announce
-        self._least_seconds = least_seconds
-        self._told_at = float('-inf')
-        self._telling: asyncio.TimerHandle | None = None
+        self._min_interval_seconds = min_interval_seconds
+        self._announced_at = float('-inf')
+        self._timer: asyncio.TimerHandle | None = None
 
-    def note(self) -> None:
-        """Note that there are news."""
-        if self._telling is not None:
+    def schedule(self) -> None:
+        """Schedule an announcement unless one is pending."""
+        if self._timer is not None:
             return
         loop = asyncio.get_running_loop()
         due = max(
             loop.time() + ANNOUNCE_DELAY_SECONDS,
-            self._told_at + self._least_seconds,
+            self._announced_at + self._min_interval_seconds,
         )
-        self._telling = loop.call_at(due, self._tell)
+        self._timer = loop.call_at(due, self._announce)
 
     def close(self) -> None:
-        """Tell nothing more."""
-        if self._telling is not None:
-            self._telling.cancel()
+        """Cancel the pending announcement."""
+        if self._timer is not None:
+            self._timer.cancel()
 
-    def _tell(self) -> None:
-        self._telling = None
-        self._told_at = asyncio.get_running_loop().time()
+    def _announce(self) -> None:
+        self._timer = None
+        self._announced_at = asyncio.get_running_loop().time()
         self.announce()
--- a/src/wardstair/gateway/cold_sends.py
+++ b/src/wardstair/gateway/cold_sends.py
@@ -1,4 +1,4 @@
-"""What this host sends to cold upstreams, and by what view of the fleet."""
+"""Limits what this host sends to cold upstreams."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class ColdSends:
-    """Paces the requests of this host to cold upstreams; one a process.
+    """Limits the rate of requests to cold upstreams; one per process.
 
     Attributes:
         sent: Requests sent to cold upstreams, by service.
@@ -23,62 +23,62 @@
         belief: Belief,
         view: Callable[[], HostView],
     ) -> None:
-        """Prepare without knowledge.
+        """Start without records.
 
         Args:
             settings: Settings of this host.
-            belief: What this host knows.
-            view: Returns whom this host knows and hears now.
+            belief: The local state of this host.
+            view: Returns the hosts that are known and live.
         """
         self.sent = Counter[str]()
         self._settings = settings
         self._belief = belief
         self._view = view
-        self._paces: dict[str, Pace] = {}
-        # The rate that the log told last, by upstream.
-        self._told: dict[str, float] = {}
+        self._limiters: dict[str, Pace] = {}
+        # The rate that was logged last, by upstream.
+        self._logged_rates: dict[str, float] = {}
 
     def may_send(self, upstream: Upstream, now: float) -> bool:
-        """Return whether a cold upstream bears a request from here now."""
-        is_due = self._pace_of(upstream).is_due(now)
+        """Return whether this host may send to a cold upstream now."""
+        is_due = self._limiter_of(upstream).is_due(now)
         return is_due and self._rate(upstream) > 0
 
     def take(self, upstream: Upstream, now: float) -> None:
-        """Count a request that goes to a cold upstream."""
+        """Count a request that is sent to a cold upstream."""
         rate = self._rate(upstream)
-        if not self._pace_of(upstream).take(rate, now):
+        if not self._limiter_of(upstream).take(rate, now):
             return
         self.sent[upstream.entry.service] += 1
-        if self._told.get(upstream.name) != rate:
-            self._told[upstream.name] = rate
-            self._tell(upstream, rate, now)
+        if self._logged_rates.get(upstream.name) != rate:
+            self._logged_rates[upstream.name] = rate
+            self._log_use(upstream, rate, now)
 
     def has_cold_rate(self, service: str) -> bool:
-        """Return whether a service says what its cold upstreams bear."""
+        """Return whether a service limits the rate of its cold upstreams."""
         steering = self._belief.steering
         known = None if steering is None else steering.services.get(service)
         return known is not None and known.cold_rate > 0
 
     def forget(self, names: set[str]) -> None:
-        """Drop what is kept for upstreams that are gone.
+        """Drop the records of upstreams that no longer exist.
 
         Args:
-            names: Names of the upstreams that are still there.
+            names: Names of the existing upstreams.
         """
-        for name in self._paces.keys() - names:
-            self._paces.pop(name)
-            self._told.pop(name, None)
+        for name in self._limiters.keys() - names:
+            self._limiters.pop(name)
+            self._logged_rates.pop(name, None)
 
     def forget_one(self, name: str) -> None:
-        """Drop what is kept for an upstream that has started again.
+        """Drop the records of an upstream that has restarted.
 
         Args:
-            name: Its name.
+            name: The upstream's name.
         """
-        self._paces.pop(name, None)
-        self._told.pop(name, None)
+        self._limiters.pop(name, None)
+        self._logged_rates.pop(name, None)
 
-    def _tell(self, upstream: Upstream, rate: float, now: float) -> None:
+    def _log_use(self, upstream: Upstream, rate: float, now: float) -> None:
         view = self._view()
         log_event(
             'cold-upstream-used',
@@ -112,5 +112,5 @@
             self._view(),
         )
 
-    def _pace_of(self, upstream: Upstream) -> Pace:
-        return self._paces.setdefault(upstream.name, Pace())
+    def _limiter_of(self, upstream: Upstream) -> Pace:
+        return self._limiters.setdefault(upstream.name, Pace())
--- a/src/wardstair/gateway/distances.py
+++ b/src/wardstair/gateway/distances.py
@@ -1,35 +1,36 @@
-"""How far other availability zones are, from what connections took."""
+"""Estimates round-trip times to zones from the time to open connections."""
 
 from dataclasses import dataclass, field
 
 from wardstair.gateway.settings import LiveSettings
 
-# Until a round trip to another region was measured.
-FIRST_FAR_SECONDS = 0.08
+# Assumed until a round trip is measured: to other regions, within the zone and
+# within the region.
+DEFAULT_FAR_SECONDS = 0.08
 ZONE_SECONDS = 0.001
 REGION_SECONDS = 0.002
-# How fast a measured round trip follows longer ones; shorter ones count at
-# once, since queues only ever lengthen it.
-_DRIFT_SHARE = 0.02
+# Weight of a longer round trip in the estimate. A shorter one replaces the
+# estimate at once, since queueing only ever adds time.
+_SMOOTHING_FACTOR = 0.02
 
 
 @dataclass(slots=True)
 class Distances:
-    """Round trips to other zones, from the times connections took."""
+    """Round-trip times to zones, measured when connections open."""
 
     settings: LiveSettings
     _measured: dict[str, float] = field(default_factory=dict)
 
     def note(self, zone: str, seconds: float) -> None:
-        """Take in how long a connection to a zone took to open."""
+        """Record how long a connection to a zone took to open, in seconds."""
         known = self._measured.get(zone)
         if known is None or seconds < known:
             self._measured[zone] = seconds
             return
-        self._measured[zone] = known + _DRIFT_SHARE * (seconds - known)
+        self._measured[zone] = known + _SMOOTHING_FACTOR * (seconds - known)
 
     def to(self, zone: str) -> float:
-        """Return the seconds there and back."""
+        """Return the round-trip time to a zone in seconds."""
         known = self._measured.get(zone)
         if known is not None:
             return known
@@ -37,4 +38,4 @@
             return ZONE_SECONDS
         if self.settings.current.is_in_region(zone):
             return REGION_SECONDS
-        return FIRST_FAR_SECONDS
+        return DEFAULT_FAR_SECONDS
--- a/src/wardstair/gateway/endpoints.py
+++ b/src/wardstair/gateway/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints for look-ups, readiness checks and other entry hosts."""
+"""HTTP endpoints for look-ups, readiness, metrics and other entry hosts."""
 
 import json
 from collections.abc import Callable
@@ -24,15 +24,21 @@
 from wardstair.state.exchange import STATE_PATH, StateExchange
 from wardstair.state.suspects import SuspectTable
 
-# How long a caller may keep an answer. Shorter costs look-ups, longer leaves
-# callers with hosts that have gone; some keep it three times as long.
-KEEP_SECONDS = 2.0
+# How long a caller may cache an answer. A shorter time costs more look-ups, a
+# longer one leaves callers with addresses of hosts that have left. Some callers
+# cache an answer three times as long.
+LOOKUP_TTL_SECONDS = 2.0
 METRICS_PATH = '/metrics'
 SUSPECTS_PATH = '/v1/suspects/?([0-9a-f]*)'
 
 
 class Directory:
-    """Answers look-ups from the live hosts."""
+    """Answers look-ups with the addresses of live hosts.
+
+    Attributes:
+        is_leaving: Whether this host is about to stop.
+        answered: Number of look-ups answered.
+    """
 
     def __init__(
         self,
@@ -40,7 +46,7 @@
         own: PeerName,
         members: Members,
     ) -> None:
-        """Prepare.
+        """Create a directory.
 
         Args:
             settings: Settings of this host.
@@ -54,10 +60,10 @@
         self._members = members
 
     def answer(self, query: str) -> bytes:
-        """Answer a look-up.
+        """Return the encoded answer to a look-up.
 
         Args:
-            query: Its query.
+            query: The query string of the request.
         """
         self.answered += 1
         lookup = decode_lookup(query)
@@ -68,7 +74,7 @@
             self._settings.current.zones,
         )
         bounds = self._settings.current.bounds
-        seconds = min(KEEP_SECONDS, bounds.lookup_seconds)
+        seconds = min(LOOKUP_TTL_SECONDS, bounds.lookup_seconds)
         return encode_addresses([host.front for host in named], seconds)
 
     def _hosts(self) -> list[NamedHost]:
@@ -124,7 +130,7 @@
     """Return the endpoint for readiness checks.
 
     Args:
-        is_ready: Whether the host should get callers.
+        is_ready: Returns whether callers should connect to this host.
     """
     return Application(
         [(READY_PATH, _ReadyHandler, {'is_ready': is_ready})],
@@ -190,12 +196,13 @@
     suspects: SuspectTable,
     relays: RelayServer,
 ) -> Application:
-    """Return the endpoint for other entry hosts, and for operators.
+    """Return the endpoints for other entry hosts and for operators.
 
     Args:
-        exchange: Hands out what this host knows.
-        suspects: Requests that ended upstreams; operators see and lift them.
-        relays: Takes requests that other hosts hand on.
+        exchange: Serves the state of this host.
+        suspects: Requests during which upstreams exited. Operators can list
+            and lift them.
+        relays: Serves requests that other hosts forward.
     """
     return Application(
         [
@@ -208,4 +215,4 @@
 
 
 def _no_log(_handler: RequestHandler) -> None:
-    """Write no line a request; the process logs its own events."""
+    """Suppress Tornado's access log; the process logs its own events."""
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -304,7 +304,7 @@
                 reporter,
             ),
         )
-        self.reachability_monitor.on_suspected = self.forwarder.hand_on_waiting
+        self.reachability_monitor.on_suspect = self.forwarder.hand_on_waiting
         self.directory = Directory(self.live_settings, own, self.members)
         self.callers = CallerListener(
             self._serve_caller,
@@ -538,7 +538,7 @@
 
     def _on_limits(self) -> None:
         """Announce a changed limit and compute this host's share of it."""
-        self._limit_announcer.note()
+        self._limit_announcer.schedule()
         if not self.chooser.load_view.is_settled:
             # The first limit takes effect at once, later ones at the next
             # sweep.
@@ -562,7 +562,7 @@
         if reach.is_cut_off:
             # Connections that are still open may be dead as well.
             self.pool.close()
-        self._reachability_announcer.note()
+        self._reachability_announcer.schedule()
 
     def _on_regained(self, groups: frozenset[str]) -> None:
         """Discard failures recorded while the upstreams were unreachable."""
--- a/src/wardstair/gateway/incarnations.py
+++ b/src/wardstair/gateway/incarnations.py
@@ -1,4 +1,4 @@
-"""What a host's parts do when an upstream's life ends or the next begins."""
+"""Reacts to upstreams that exit or restart."""
 
 import asyncio
 
@@ -10,36 +10,36 @@
 
 
 class IncarnationEvents:
-    """Passes the end of a life on to whoever keeps something of it."""
+    """Informs the components that keep state of an upstream incarnation."""
 
     def __init__(
         self,
         belief: Belief,
         pool: UpstreamPool,
         chooser: Chooser,
-        teller: ChangeAnnouncer,
-        changed: asyncio.Event,
+        announcer: ChangeAnnouncer,
+        suspects_changed: asyncio.Event,
     ) -> None:
-        """Listen to the catalog and the table of suspects.
+        """Subscribe to the catalog and the table of suspects.
 
         Args:
-            belief: What this host knows.
+            belief: The local state of this host.
             pool: Connections to upstreams.
-            chooser: Keeps what cold upstreams get.
-            teller: Has others know that this host has learned something.
-            changed: Set when the table of suspects has changed.
+            chooser: Limits what cold upstreams get.
+            announcer: Announces changes to other hosts.
+            suspects_changed: Set when the table of suspects has changed.
         """
-        self._teller = teller
+        self._announcer = announcer
         self._catalog = belief.catalog
         self._pool = pool
         self._chooser = chooser
-        self._changed = changed
-        belief.catalog.on_life_ended = self._on_restarted
-        belief.suspects.on_ended = self._on_ended
-        belief.suspects.on_change = self._on_suspects
+        self._suspects_changed = suspects_changed
+        belief.catalog.on_life_ended = self._on_incarnation_ended
+        belief.suspects.on_ended = self._on_exit_proved
+        belief.suspects.on_change = self._on_suspects_changed
 
     def newest(self, name: str) -> UpstreamEntry | None:
-        """Return the entry of an upstream's newest life, if it is there.
+        """Return the entry of an upstream's newest incarnation, if any.
 
         Args:
             name: The upstream's name.
@@ -49,18 +49,18 @@
             return None
         return upstream.entry
 
-    def _on_restarted(self, name: str) -> None:
-        """Let nothing that belongs to an upstream's earlier life go on."""
+    def _on_incarnation_ended(self, name: str) -> None:
+        """Drop the connections and counts of an upstream that has restarted."""
         self._pool.drop(name)
         self._chooser.cold_sends.forget_one(name)
         self._chooser.limited_sends.forget_one(name)
 
-    def _on_ended(self, life: str) -> None:
-        """Send nothing to an upstream that ended, and little to its next life.
+    def _on_exit_proved(self, incarnation: str) -> None:
+        """Avoid an upstream that exited and assume that it restarts cold.
 
-        A host that has nobody else sends there all the same.
+        A host that has no other upstream still sends to it.
         """
-        upstream = self._catalog.note_ended(life)
+        upstream = self._catalog.note_ended(incarnation)
         if upstream is not None:
             self._chooser.suspect_new_life(
                 upstream,
@@ -68,7 +68,7 @@
                 self._catalog.clock(),
             )
 
-    def _on_suspects(self) -> None:
-        """Have others know, and the store."""
-        self._changed.set()
-        self._teller.note()
+    def _on_suspects_changed(self) -> None:
+        """Announce the change to other hosts and update the store."""
+        self._suspects_changed.set()
+        self._announcer.schedule()
--- a/src/wardstair/gateway/limited_sends.py
+++ b/src/wardstair/gateway/limited_sends.py
@@ -1,4 +1,4 @@
-"""What this host sends to upstreams that name a limit."""
+"""Limits what this host sends to upstreams that report a rate limit."""
 
 from collections import Counter
 from collections.abc import Callable, Collection
@@ -16,68 +16,74 @@
 from wardstair.state.limits import LimitTable
 from wardstair.state.upstream import Upstream
 
-# What is borne of an upstream that names a limit, by the users' rules, which no
-# setting gives: half more than it names and five requests, in any four seconds.
+# Limits that the fleet must keep to, fixed by the user requirements rather than
+# by settings: in any four seconds an upstream may get half more than its
+# reported rate, and five requests.
 LIMIT_OVERSHOOT = 1.5
 LIMIT_SLACK = 5.0
 LIMIT_WINDOW = 4.0
-# Requests a second of all hosts to an upstream that names zero or hardly more:
-# one in ten seconds, since only its answers tell when it takes more.
-LEAST_RATE = 0.1
-# How often it is looked at whether this host has requests enough for its part.
+# Requests a second of the fleet to an upstream that reports zero or hardly
+# more: one in ten seconds, since only its answers show when it accepts more.
+MIN_RATE = 0.1
+# Interval at which this host compares its requests with its share.
 STEP_SECONDS = 2.0
-# Requests for each that its part allows. Drawn by chance, twice as many use
-# 0.84 of the part, as many 0.62 and half as many 0.39.
-WANTED = 2.0
-# Step by which keys are drawn to an upstream, and the most: beyond it, keys
-# would leave homes all over the service for one that takes few.
-DRAW_STEP = 1.5
+# First-choice requests wanted for each request that the share allows. With
+# random arrivals, a ratio of 2 uses 0.84 of the share, 1 uses 0.62 and 0.5 uses
+# 0.39.
+DEMAND_RATIO = 2.0
+# Factor by which an upstream's weight changes in one step, and the largest
+# factor on the weight. A larger one would move keys away from their preferred
+# upstreams across the service to an upstream that accepts few requests.
+WEIGHT_STEP = 1.5
 MAX_WEIGHT_FACTOR = 32.0
-# Change of a part that is worth a log line: parts follow the load, and with
-# each change told one upstream made three lines a second.
-TOLD_CHANGE = 0.5
-# Part of its time that a caller waits at most, by the users' pages.
+# Relative change of a share that is logged. Shares follow the load; logging
+# every change produced three lines a second for one upstream.
+LOG_CHANGE_FRACTION = 0.5
+# A caller waits at most this fraction of its remaining time before it retries,
+# according to the user documentation.
 MAX_WAIT_FRACTION = 1 / 3
-# Longest that a caller is told to wait: limits change within seconds.
+# Longest wait reported to a caller, since limits change within seconds.
 MAX_WAIT_SECONDS = 30.0
 
 
 @dataclass(slots=True)
-class LimitedUpstream:
-    """What is kept of one upstream with a limit.
+class LimitRecord:
+    """The state kept for one upstream with a limit.
 
     Attributes:
         allowance: What this host may send to it now.
-        wanted: Requests whose first choice it was, since the last step.
-        part: This host's part.
-        told: The rate of it that the log told last.
+        first_choices: Requests since the last step that ranked it first.
+        share: This host's share of the limit.
+        logged_rate: The rate of the share that was logged last.
     """
 
     allowance: Allowance = field(default_factory=Allowance)
-    wanted: int = 0
-    part: Part = NOTHING
-    told: float = 0.0
+    first_choices: int = 0
+    share: Part = NOTHING
+    logged_rate: float = 0.0
     _rate: float = -1.0
     _view: LoadView | None = None
 
-    def part_for(self, upstream: Upstream, rate: float, view: LoadView) -> Part:
-        """Return this host's part; worked out anew when it may differ."""
+    def current_share(
+        self, upstream: Upstream, rate: float, view: LoadView
+    ) -> Part:
+        """Return this host's share, computed again when its inputs changed."""
         if rate != self._rate or view is not self._view:
             self._rate = rate
             self._view = view
             bound = FleetBound(
-                max(rate, LEAST_RATE),
+                max(rate, MIN_RATE),
                 LIMIT_OVERSHOOT,
                 LIMIT_SLACK,
                 LIMIT_WINDOW,
             )
             entry = upstream.entry
-            self.part = part_of(entry.name, entry.zone, bound, view)
-        return self.part
+            self.share = part_of(entry.name, entry.zone, bound, view)
+        return self.share
 
 
 class LimitedSends:
-    """Keeps this host to its part of limits; one a process.
+    """Keeps this host within its shares of limits; one per process.
 
     Attributes:
         sent: Requests sent to upstreams with a limit, by service.
@@ -88,61 +94,64 @@
         limits: LimitTable,
         view: Callable[[], LoadView],
     ) -> None:
-        """Prepare without knowledge.
+        """Start without records.
 
         Args:
-            limits: What upstreams name.
-            view: Returns whom this host knows now, with their load.
+            limits: The limits that upstreams report.
+            view: Returns the hosts known to this host, with their load.
         """
         self.sent = Counter[str]()
         self._limits = limits
         self._view = view
-        self._kept: dict[str, LimitedUpstream] = {}
+        self._records: dict[str, LimitRecord] = {}
         self._stepped_at = 0.0
-        # When the next caller may come again, by service.
+        # Latest retry time assigned to a refused caller, by service.
         self._next_at: dict[str, float] = {}
 
     @property
     def is_idle(self) -> bool:
-        """Whether no upstream has named anything."""
+        """Whether no upstream has reported a limit."""
         return not self._limits.rows
 
     def is_limited(self, upstream: Upstream) -> bool:
-        """Return whether an upstream names a limit."""
+        """Return whether an upstream reports a limit."""
         return self._limits.rate_of(upstream) is not None
 
     def may_send(self, upstream: Upstream, now: float) -> bool:
-        """Return whether an upstream may get a request from here now."""
+        """Return whether this host may send to an upstream now."""
         rate = self._limits.rate_of(upstream)
         if rate is None:
             return True
-        kept = self._keep(upstream)
-        part = kept.part_for(upstream, rate, self._view())
-        return kept.allowance.is_due(part.rate, now)
+        record = self._record_of(upstream)
+        share = record.current_share(upstream, rate, self._view())
+        return record.allowance.is_due(share.rate, now)
 
     def note_first_choice(self, upstream: Upstream) -> None:
-        """Count a request that would go to an upstream, limit or not."""
+        """Count a request that ranks an upstream first, limit or not."""
         if self.is_limited(upstream):
-            self._keep(upstream).wanted += 1
+            self._record_of(upstream).first_choices += 1
 
     def take(self, upstream: Upstream) -> None:
-        """Count a request that goes to an upstream."""
+        """Count a request that is sent to an upstream."""
         if not self.is_limited(upstream):
             return
-        kept = self._keep(upstream)
-        kept.allowance.take()
+        record = self._record_of(upstream)
+        record.allowance.take()
         self.sent[upstream.entry.service] += 1
-        if abs(kept.part.rate - kept.told) > kept.told * TOLD_CHANGE:
-            kept.told = kept.part.rate
-            self._tell(upstream, kept)
+        if (
+            abs(record.share.rate - record.logged_rate)
+            > record.logged_rate * LOG_CHANGE_FRACTION
+        ):
+            record.logged_rate = record.share.rate
+            self._log_use(upstream, record)
 
     def step(self, upstreams: Collection[Upstream], now: float) -> bool:
-        """Draw keys to upstreams whose part here is not used, or let them go.
+        """Adjust upstream weights so that this host uses its shares.
 
-        Few hosts may send to an upstream that takes little, and each has only
-        its own callers' requests for it: the four of 189 hosts that may send
-        to one that names 3.6 a second used 0.05 of that, and 0.83 with keys
-        drawn to it (16 requests a second for it, played without sockets).
+        Only a few hosts may send to an upstream with a low limit, and each has
+        only the requests of its own callers for it. With 16 requests a second
+        for an upstream that reports 3.6, the four of 189 hosts that may send to
+        it used 0.05 of the limit, and 0.83 with a raised weight.
 
         Args:
             upstreams: All upstreams.
@@ -157,7 +166,7 @@
         self._stepped_at = now
         is_changed = False
         for upstream in upstreams:
-            drawn = self._drawn(upstream, seconds)
+            drawn = self._weight_factor(upstream, seconds)
             if drawn != upstream.drawn:
                 upstream.drawn = drawn
                 is_changed = True
@@ -170,69 +179,71 @@
         seconds_left: float,
         now: float,
     ) -> float:
-        """Return when a caller should come again, in seconds.
+        """Return after how many seconds a refused caller should retry.
 
-        Each that is told gets the next place of this host's even part of what
-        the upstreams take together, whoever may send: a caller comes back to
-        another host. Of callers in bursts, 60 a second for two seconds and 8
-        for eight, at six upstreams that name 4, 0.70 are served; all told 0.4 s
-        0.66, all told 0.2 s 0.64 (played without sockets, 16 seeds).
+        Each caller gets the next slot in an even share, for this host, of what
+        the upstreams accept together. The share does not depend on which hosts
+        may send, since the caller may retry at another host. With six upstreams
+        that report 4 requests a second, and bursts of 60 requests a second for
+        two seconds followed by 8 for eight, 0.70 of the callers are served.
+        With a fixed wait of 0.4 s for all it is 0.66, with 0.2 s 0.64.
 
         Args:
-            upstreams: Those that would do, all with a limit.
-            hosts: Hosts of the fleet.
-            seconds_left: How long the caller goes on trying. One that will
-                not wait so long takes no place.
+            upstreams: The upstreams that could serve the request, all with a
+                limit.
+            hosts: Number of hosts of the fleet.
+            seconds_left: Time until the caller's deadline. A caller that is not
+                expected to wait for the slot does not take it.
             now: Monotonic time in seconds.
         """
         rates = [self._limits.rate_of(one) for one in upstreams]
-        total = sum(max(rate, LEAST_RATE) for rate in rates if rate is not None)
+        total = sum(max(rate, MIN_RATE) for rate in rates if rate is not None)
         service = next(iter(upstreams)).entry.service
-        place = max(now, self._next_at.get(service, now)) + hosts / total
-        wait = min(place - now, MAX_WAIT_SECONDS)
+        slot = max(now, self._next_at.get(service, now)) + hosts / total
+        wait = min(slot - now, MAX_WAIT_SECONDS)
         if wait < seconds_left * MAX_WAIT_FRACTION:
-            self._next_at[service] = place
+            self._next_at[service] = slot
         return wait
 
     def forget(self, names: Collection[str]) -> None:
-        """Drop what is kept for upstreams that are gone.
+        """Drop the records of upstreams that no longer exist.
 
         Args:
-            names: Names of the upstreams that are still there.
+            names: Names of the existing upstreams.
         """
-        for name in self._kept.keys() - set(names):
-            self._kept.pop(name)
+        for name in self._records.keys() - set(names):
+            self._records.pop(name)
 
     def forget_one(self, name: str) -> None:
-        """Drop what is kept for an upstream that has started again.
+        """Drop the record of an upstream that has restarted.
 
         Args:
-            name: Its name.
+            name: The upstream's name.
         """
-        self._kept.pop(name, None)
+        self._records.pop(name, None)
 
-    def _keep(self, upstream: Upstream) -> LimitedUpstream:
-        return self._kept.setdefault(upstream.name, LimitedUpstream())
+    def _record_of(self, upstream: Upstream) -> LimitRecord:
+        return self._records.setdefault(upstream.name, LimitRecord())
 
-    def _drawn(self, upstream: Upstream, seconds: float) -> float:
-        """Return the factor on an upstream's weight from now on."""
-        kept = self._kept.get(upstream.name)
+    def _weight_factor(self, upstream: Upstream, seconds: float) -> float:
+        """Return the new factor on an upstream's weight."""
+        record = self._records.get(upstream.name)
         rate = self._limits.rate_of(upstream)
-        if kept is None or rate is None:
+        if record is None or rate is None:
             return 1.0
-        wanted = kept.wanted / seconds
-        kept.wanted = 0
-        part = kept.part_for(upstream, rate, self._view())
-        most = min(MAX_WEIGHT_FACTOR, max(1.0, part.stands_for))
-        if part.rate <= 0:
+        first_choice_rate = record.first_choices / seconds
+        record.first_choices = 0
+        share = record.current_share(upstream, rate, self._view())
+        max_factor = min(MAX_WEIGHT_FACTOR, max(1.0, share.stands_for))
+        if share.rate <= 0:
             return 1.0
-        if wanted < part.rate * WANTED:
-            return min(most, upstream.drawn * DRAW_STEP)
-        if wanted > part.rate * WANTED * DRAW_STEP**2:
-            return max(1.0, upstream.drawn / DRAW_STEP)
-        return min(most, upstream.drawn)
+        if first_choice_rate < share.rate * DEMAND_RATIO:
+            return min(max_factor, upstream.drawn * WEIGHT_STEP)
+        if first_choice_rate > share.rate * DEMAND_RATIO * WEIGHT_STEP**2:
+            return max(1.0, upstream.drawn / WEIGHT_STEP)
+        return min(max_factor, upstream.drawn)
 
-    def _tell(self, upstream: Upstream, kept: LimitedUpstream) -> None:
+    def _log_use(self, upstream: Upstream, record: LimitRecord) -> None:
         view = self._view()
         log_event(
             'limited-upstream-used',
@@ -240,7 +251,7 @@
             service=upstream.entry.service,
             zone=upstream.entry.zone,
             limit=self._limits.rate_of(upstream),
-            rate=round(kept.part.rate, 3),
+            rate=round(record.share.rate, 3),
             drawn=round(upstream.drawn, 2),
             hosts=len(view.hosts),
             zones=len(view.zones),
--- a/src/wardstair/gateway/outcomes.py
+++ b/src/wardstair/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcome of a send tells of the upstream."""
+"""Updates the state of an upstream from the outcomes of requests sent to it."""
 
 import time
 from dataclasses import dataclass, replace
@@ -24,16 +24,16 @@
 from wardstair.state.reach import ReachTable
 from wardstair.version.steering import SteeredRoute
 
-# Statuses from here on say that the upstream failed; but for 504, by which it
-# says that it was given too little time.
-_FAILURES_FROM = 500
-_TOO_LITTLE_TIME = 504
-# Load that is assumed of an upstream which turned a request away and told none,
-# as a multiple of its slots: full, with a queue.
-_FULL_FACTOR = 3
-_LEAST_SECONDS = 0.001
-# How an exchange ends when its upstream does.
-_BROKEN = frozenset((BreakReason.closed, BreakReason.reset))
+# Statuses from 500 on are failures of the upstream, except 504, which means
+# that the request left it too little time.
+_SERVER_ERROR = 500
+_GATEWAY_TIMEOUT = 504
+# Load assumed for an upstream that rejected a request without reporting its
+# load, as a multiple of its slots: all slots in use and a queue.
+_FULL_LOAD_FACTOR = 3
+_MIN_WORK_SECONDS = 0.001
+# Reasons for which an exchange breaks when the upstream process exits.
+_PROCESS_EXIT_REASONS = frozenset((BreakReason.closed, BreakReason.reset))
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,8 +43,8 @@
     Attributes:
         placement: The upstream and why it was chosen.
         route: The request's route.
-        key: What it concerns.
-        trail: What will be told of the request.
+        key: The affinity key of the request.
+        trail: The attempt history of the request.
     """
 
     placement: Placement
@@ -54,17 +54,17 @@
 
 
 def is_failure(delivered: Delivered) -> bool:
-    """Return whether an answer says that the upstream failed."""
+    """Return whether an answer is a failure of the upstream."""
     status = delivered.answer.status
-    return status >= _FAILURES_FROM and status != _TOO_LITTLE_TIME
+    return status >= _SERVER_ERROR and status != _GATEWAY_TIMEOUT
 
 
 def _is_good(delivered: Delivered) -> bool:
-    return delivered.answer.status < _FAILURES_FROM
+    return delivered.answer.status < _SERVER_ERROR
 
 
 class OutcomeRecorder:
-    """Takes outcomes into the view of upstreams; one a process."""
+    """Records the outcomes of sends; one per process."""
 
     def __init__(
         self,
@@ -74,45 +74,54 @@
         exit_detector: ExitDetector,
         reach: ReachTable,
     ) -> None:
-        """Prepare.
+        """Create a recorder.
 
         Args:
             catalog: The upstreams.
-            chooser: Keeps the usual work of routes.
+            chooser: Keeps the expected work of each route.
             settings: Settings of this host.
-            exit_detector: Finds out whether an upstream ended under a request.
-            reach: Told which upstreams keep silent.
+            exit_detector: Detects whether an upstream exited during a request.
+            reach: Records the upstreams that do not answer in time.
         """
         self._reach = reach
-        self._witness = exit_detector
+        self._exit_detector = exit_detector
         self._settings = settings
         self._catalog = catalog
         self._chooser = chooser
 
-    def record(self, case: SendAttempt, outcome: SendOutcome) -> SendOutcome:
-        """Note what an outcome tells of the upstream; return it."""
-        upstream = case.placement.upstream
+    def record(self, attempt: SendAttempt, outcome: SendOutcome) -> SendOutcome:
+        """Update the upstream from an outcome and return the outcome.
+
+        Args:
+            attempt: The send.
+            outcome: Its outcome.
+        """
+        upstream = attempt.placement.upstream
         now = time.monotonic()
-        self._testify(case, outcome)
+        self._note_evidence(attempt, outcome)
         match outcome:
             case Delivered(fields=fields, seconds=seconds):
                 if fields.load is not None:
-                    told = fields.load.running + fields.load.waiting
-                    upstream.note_load(told, now)
+                    reported_load = fields.load.running + fields.load.waiting
+                    upstream.note_load(reported_load, now)
                 if is_failure(outcome):
                     upstream.note_error(now)
                 else:
-                    self._learn_time(case, seconds, now)
+                    self._record_time(attempt, seconds, now)
             case TurnedAway(is_other=True):
                 self._catalog.mark_gone(upstream.name)
-            case TurnedAway(load=ToldLoad() as load) if self._trusts_load():
-                # One that is short of nothing turns some away as well: taken
-                # for full, it would lose the keys that it remembers.
+            case TurnedAway(load=ToldLoad() as load) if (
+                self._trusts_reported_load()
+            ):
+                # An upstream with free slots may reject requests as well. If
+                # it were treated as full, its warm keys would move away.
                 upstream.note_load(load.running + load.waiting, now)
             case TurnedAway():
-                upstream.note_load(upstream.entry.slots * _FULL_FACTOR, now)
+                upstream.note_load(
+                    upstream.entry.slots * _FULL_LOAD_FACTOR, now
+                )
             case NotSent(reason=reason, is_dead=is_dead):
-                self._distrust(case, reason, now)
+                self._avoid(attempt, reason, now)
                 if is_dead:
                     self._chooser.suspect_new_life(
                         upstream,
@@ -120,73 +129,78 @@
                         now,
                     )
             case Lost(is_forgotten=True):
-                # Whether the upstream itself is well the next send will show,
-                # which opens a connection.
+                # The connection was dropped. The next send opens a new one and
+                # shows whether the upstream works.
                 log_event(
                     'connection-forgotten',
-                    request=case.trail.inbound.request_id,
+                    request=attempt.trail.inbound.request_id,
                     upstream=upstream.name,
                 )
             case Lost(reason=broken):
-                self._distrust(case, broken, now)
+                self._avoid(attempt, broken, now)
         return outcome
 
-    def _testify(self, case: SendAttempt, outcome: SendOutcome) -> None:
-        """Tell what an outcome says of the request rather than the upstream."""
-        upstream = case.placement.upstream
-        inbound = case.trail.inbound
+    def _note_evidence(
+        self, attempt: SendAttempt, outcome: SendOutcome
+    ) -> None:
+        """Record evidence for or against the request, not the upstream."""
+        upstream = attempt.placement.upstream
+        inbound = attempt.trail.inbound
         match outcome:
-            case Lost(reason=reason) if reason in _BROKEN:
-                self._witness.note_broken(inbound.identity, upstream)
-            # A failure clears nobody: some upstreams fail a part of all.
-            case Delivered() if _is_good(outcome) and not self._witness.is_idle:
-                suspects = self._witness.suspects
+            case Lost(reason=reason) if reason in _PROCESS_EXIT_REASONS:
+                self._exit_detector.note_broken(inbound.identity, upstream)
+            # A failed answer does not clear a request of suspicion: some
+            # upstreams fail a fraction of all requests.
+            case Delivered() if (
+                _is_good(outcome) and not self._exit_detector.is_idle
+            ):
+                suspects = self._exit_detector.suspects
                 suspects.note_answered(inbound.identity, upstream.life)
 
-    def _trusts_load(self) -> bool:
+    def _trusts_reported_load(self) -> bool:
         return self._settings.current.uses(Mechanism.told_rejections)
 
-    def note_overdue(self, case: SendAttempt, now: float) -> None:
-        """Note against an upstream that it was far slower than expected.
+    def note_overdue(self, attempt: SendAttempt, now: float) -> None:
+        """Avoid an upstream whose answer is overdue.
 
         Args:
-            case: A send that has no outcome yet.
+            attempt: A send without an outcome.
             now: Monotonic time in seconds.
         """
-        if case.placement.upstream.is_overdue(now):
-            self._distrust(case, 'silent', now)
-            self._reach.note_failed(case.placement.upstream.entry)
+        if attempt.placement.upstream.is_overdue(now):
+            self._avoid(attempt, 'silent', now)
+            self._reach.note_failed(attempt.placement.upstream.entry)
 
-    def _distrust(self, case: SendAttempt, reason: str, now: float) -> None:
-        upstream = case.placement.upstream
+    def _avoid(self, attempt: SendAttempt, reason: str, now: float) -> None:
+        upstream = attempt.placement.upstream
         log_event(
             'upstream-avoided',
-            request=case.trail.inbound.request_id,
+            request=attempt.trail.inbound.request_id,
             upstream=upstream.name,
             reason=reason,
             seconds=upstream.note_failure(now),
         )
 
-    def _learn_time(
-        self, case: SendAttempt, seconds: float, now: float
+    def _record_time(
+        self, attempt: SendAttempt, seconds: float, now: float
     ) -> None:
-        upstream = case.placement.upstream
-        was_warm = upstream.warm.has(case.key, now)
-        case.trail.was_warm = was_warm
-        upstream.warm.note(case.key, now)
-        candidate = case.placement.choice.candidate
-        work = self._chooser.work_of(case.route)
+        upstream = attempt.placement.upstream
+        was_warm = upstream.warm.has(attempt.key, now)
+        attempt.trail.was_warm = was_warm
+        upstream.warm.note(attempt.key, now)
+        candidate = attempt.placement.choice.candidate
+        work = self._chooser.work_of(attempt.route)
         warm = replace(candidate, is_warm=True)
         cold = replace(candidate, is_warm=False)
-        shown = slowness_shown(
+        slowdown = slowness_shown(
             seconds,
             warm=expected_seconds(warm, work.seconds),
             cold=expected_seconds(cold, work.seconds),
-            is_sure=was_warm or not case.route.is_sticky,
+            is_sure=was_warm or not attempt.route.is_sticky,
         )
-        if shown is None:
+        if slowdown is None:
             upstream.note_answer()
             return
         if candidate.load < candidate.slots:
-            work.note(max(seconds - candidate.round_trip, _LEAST_SECONDS))
-        upstream.note_success(candidate.slowness * shown, now)
+            work.note(max(seconds - candidate.round_trip, _MIN_WORK_SECONDS))
+        upstream.note_success(candidate.slowness * slowdown, now)
--- a/src/wardstair/gateway/program.py
+++ b/src/wardstair/gateway/program.py
@@ -1,4 +1,4 @@
-"""The life of a gateway process: settings, signals, start and stop."""
+"""Runs a gateway process: settings, signals, start and stop."""
 
 import asyncio
 import os
@@ -17,17 +17,18 @@
 from wardstair.process.sink import LineSink
 
 SETTINGS_VARIABLE = 'WARDSTAIR_CONFIG'
-# The file may change without a signal; looking at it costs one system call.
-LOOK_SECONDS = 2.0
+# Interval at which the settings file is checked for changes without a signal. A
+# check costs one system call.
+SETTINGS_POLL_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsFile:
-    """The settings file at one moment.
+    """A version of the settings file.
 
     Attributes:
-        path: Where it lies.
-        stamp: What changes when it is written.
+        path: Path of the file.
+        stamp: Modification time in nanoseconds and size in bytes.
     """
 
     path: Path
@@ -35,13 +36,13 @@
 
 
 def run() -> None:
-    """Run until the process is told to stop."""
+    """Run until the process receives a signal to stop."""
     name = os.environ.get(SETTINGS_VARIABLE, '')
     if len(sys.argv) > 1:
         name = sys.argv[1]
     path = Path(name)
-    # Before the file is read: what changes afterwards is read again.
-    stamp = _stamp(path)
+    # Taken before the file is read, so that later changes are noticed.
+    stamp = _file_stamp(path)
     try:
         settings = load_settings(path)
     except ConfigurationError as error:
@@ -56,46 +57,49 @@
     file: SettingsFile,
     sink: LineSink,
 ) -> None:
-    # The curl client belongs to the loop that runs when it is made.
+    # Created inside the event loop, since the curl client attaches to the loop
+    # that is running.
     host = GatewayHost(settings, SystemRandom())
-    _warn_of_gaps(settings)
+    _warn_of_missing_settings(settings)
     add_line_counts(host.metrics, sink)
     stopped = asyncio.Event()
-    hung_up = asyncio.Event()
+    reload_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
     loop.add_signal_handler(signal.SIGINT, stopped.set)
-    loop.add_signal_handler(signal.SIGHUP, hung_up.set)
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
     await host.start()
-    watching = asyncio.ensure_future(watch_settings(host, file, hung_up))
+    watcher = asyncio.ensure_future(
+        watch_settings(host, file, reload_requested)
+    )
     await stopped.wait()
-    watching.cancel()
+    watcher.cancel()
     await host.stop()
 
 
 async def watch_settings(
     host: GatewayHost,
     file: SettingsFile,
-    hung_up: asyncio.Event,
+    reload_requested: asyncio.Event,
 ) -> None:
-    """Take over the settings at a signal and when the file has changed.
+    """Reload the settings on a signal and when the file has changed.
 
     Args:
         host: The gateway.
-        file: The settings file, as it was before it was read first.
-        hung_up: Set by the signal.
+        file: The version of the settings file that was loaded at start.
+        reload_requested: Set by SIGHUP.
     """
     path = file.path
-    seen = file.stamp
+    last_stamp = file.stamp
     while True:
         try:
-            async with asyncio.timeout(LOOK_SECONDS):
-                await hung_up.wait()
+            async with asyncio.timeout(SETTINGS_POLL_SECONDS):
+                await reload_requested.wait()
         except TimeoutError:
-            if _stamp(path) == seen:
+            if _file_stamp(path) == last_stamp:
                 continue
-        hung_up.clear()
-        seen = _stamp(path)
+        reload_requested.clear()
+        last_stamp = _file_stamp(path)
         try:
             settings = load_settings(path)
         except ConfigurationError as error:
@@ -103,18 +107,18 @@
         else:
             changed = host.adopt_settings(settings)
             log_event('settings-reread', changed=','.join(changed))
-            _warn_of_gaps(settings)
+            _warn_of_missing_settings(settings)
 
 
-def _warn_of_gaps(settings: GatewaySettings) -> None:
-    """Name the settings that are not given, with what stands in for them."""
+def _warn_of_missing_settings(settings: GatewaySettings) -> None:
+    """Log the settings that are missing, with the defaults used instead."""
     if settings.gaps:
         names = ','.join(map(str, settings.gaps))
         log_warning('settings-missing', used=names)
 
 
-def _stamp(path: Path) -> tuple[int, int]:
-    """Return what changes when the file is written; zeros if it is away."""
+def _file_stamp(path: Path) -> tuple[int, int]:
+    """Return modification time and size; zeros if there is no file."""
     try:
         status = path.stat()
     except OSError:
--- a/src/wardstair/gateway/quotas.py
+++ b/src/wardstair/gateway/quotas.py
@@ -16,10 +16,10 @@
 from wardstair.gateway.settings import OrganisationBounds
 from wardstair.version.organisations import Organisation, Quota
 
-# Age, in reports, of the counts received from other hosts: on its way a count
-# waits for two reports.
+# Age, in reports, of the counts received from other hosts. A count waits for
+# two reports before it arrives.
 EARLIER_REPORTS = 2
-# Fraction of a quota above which changes of demand are reported at once.
+# Fraction of a quota above which changes in demand are reported at once.
 URGENT_FRACTION = 0.6
 # A caller is expected to retry if the wait is below this fraction of its
 # remaining time.
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class _Use:
+class _Usage:
     """The requests of an organisation on this host.
 
     Attributes:
@@ -35,7 +35,8 @@
         offered: Requests received.
         admitted: Requests admitted.
         reported: Counts in the latest reports, oldest first.
-        next_at: Latest retry time assigned to a refused caller.
+        next_at: Monotonic time of the latest retry assigned to a refused
+            caller.
     """
 
     number: int
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """Why a request was refused.
+    """A refused request and the numbers behind the decision.
 
     Attributes:
         view: The demand known to this host.
@@ -78,7 +79,7 @@
     bounds: Callable[[], OrganisationBounds]
     assumed_hosts: Callable[[], int]
     table: DemandTable = field(init=False)
-    _uses: dict[str, _Use] = field(default_factory=dict)
+    _usages: dict[str, _Usage] = field(default_factory=dict)
     _urgent: set[int] = field(default_factory=set)
 
     def attach_table(self, table: DemandTable) -> None:
@@ -104,32 +105,35 @@
         if organisation.quota is None:
             return None
         now = self.clock()
-        use = self._use_of(organisation.name)
-        use.offered.add(now)
-        view = self._view(use, now)
+        usage = self._usage_of(organisation.name)
+        usage.offered.add(now)
+        view = self._view(usage, now)
         bound = self._bound(organisation.quota)
-        self._note_urgency(use, bound, view)
+        self._note_urgency(usage, bound, view)
         allowed = allowed_requests(bound, view)
-        chance = unit_hash(f'{self.table.own} {use.number}')
-        if use.admitted.count(now) < rounded_at_random(allowed, chance):
-            use.admitted.add(now)
+        chance = unit_hash(f'{self.table.own} {usage.number}')
+        if usage.admitted.count(now) < rounded_at_random(allowed, chance):
+            usage.admitted.add(now)
             return None
-        return OverQuota(view, allowed, self._wait(use, allowed, seconds_left))
+        return OverQuota(
+            view, allowed, self._wait(usage, allowed, seconds_left)
+        )
 
     def give_back(self, organisation: Organisation | None) -> None:
-        """Uncount an admitted request that did not run."""
+        """Return the quota used by an admitted request that did not run."""
         if organisation is None or organisation.quota is None:
             return
-        use = self._use_of(organisation.name)
+        usage = self._usage_of(organisation.name)
         now = self.clock()
-        if use.admitted.count(now):
-            use.admitted.add(now, -1)
+        if usage.admitted.count(now):
+            usage.admitted.add(now, -1)
 
     def own_counts(self) -> Mapping[int, int]:
-        """Return the demand on this host, by the organisation's number."""
+        """Return the requests received here, by the organisation's number."""
         now = self.clock()
         counts = {
-            use.number: use.offered.count(now) for use in self._uses.values()
+            usage.number: usage.offered.count(now)
+            for usage in self._usages.values()
         }
         return {number: count for number, count in counts.items() if count}
 
@@ -137,16 +141,16 @@
         """Return the refused requests, by the organisation's number."""
         now = self.clock()
         refused = {
-            use.number: use.offered.count(now) - use.admitted.count(now)
-            for use in self._uses.values()
+            usage.number: usage.offered.count(now) - usage.admitted.count(now)
+            for usage in self._usages.values()
         }
         return {number: count for number, count in refused.items() if count > 0}
 
     def note_reported(self) -> None:
         """Record the demand of this host at the time of a report."""
         now = self.clock()
-        for use in self._uses.values():
-            use.reported.append(use.offered.count(now))
+        for usage in self._usages.values():
+            usage.reported.append(usage.offered.count(now))
 
     def forget(self, names: Mapping[str, Organisation]) -> None:
         """Drop the counts of organisations that no longer exist.
@@ -154,41 +158,41 @@
         Args:
             names: The existing organisations by name.
         """
-        for name in self._uses.keys() - names.keys():
-            self._uses.pop(name)
+        for name in self._usages.keys() - names.keys():
+            self._usages.pop(name)
 
     def _note_urgency(
         self,
-        use: _Use,
+        usage: _Usage,
         bound: QuotaBound,
         view: DemandView,
     ) -> None:
         if view.own + view.others > bound.unrestricted * URGENT_FRACTION:
-            self._urgent.add(use.number)
+            self._urgent.add(usage.number)
         else:
-            self._urgent.discard(use.number)
+            self._urgent.discard(usage.number)
 
-    def _use_of(self, name: str) -> _Use:
-        known = self._uses.get(name)
+    def _usage_of(self, name: str) -> _Usage:
+        known = self._usages.get(name)
         if known is None:
             window = self.bounds().quota_window
-            known = _Use(
+            known = _Usage(
                 number_of(name),
                 SlidingCount(window),
                 SlidingCount(window),
             )
-            self._uses[name] = known
+            self._usages[name] = known
         return known
 
-    def _view(self, use: _Use, now: float) -> DemandView:
-        others = self.table.others.get(use.number, 0)
-        admitted = others - self.table.refused.get(use.number, 0)
+    def _view(self, usage: _Usage, now: float) -> DemandView:
+        others = self.table.others.get(usage.number, 0)
+        admitted = others - self.table.refused.get(usage.number, 0)
         return DemandView(
-            own=use.offered.count(now),
-            earlier=use.reported[0],
+            own=usage.offered.count(now),
+            earlier=usage.reported[0],
             others=others,
-            admitted=admitted + use.admitted.count(now),
-            reserved=self.table.reserved.get(use.number, 0.0),
+            admitted=admitted + usage.admitted.count(now),
+            reserved=self.table.reserved.get(usage.number, 0.0),
             assumed_hosts=self.assumed_hosts(),
         )
 
@@ -202,7 +206,9 @@
             bounds.quota_slack,
         )
 
-    def _wait(self, use: _Use, allowed: float, seconds_left: float) -> float:
+    def _wait(
+        self, usage: _Usage, allowed: float, seconds_left: float
+    ) -> float:
         """Return the seconds after which a refused caller should retry.
 
         Retry times are spaced by the rate at which this host can admit
@@ -210,9 +216,9 @@
         not expected to wait that long takes no slot.
         """
         now = self.clock()
-        window = use.offered.window
-        slot = max(now, use.next_at) + window / max(allowed, 1.0)
+        window = usage.offered.window
+        slot = max(now, usage.next_at) + window / max(allowed, 1.0)
         wait = min(slot - now, window)
         if wait < seconds_left * RETRY_FRACTION:
-            use.next_at = slot
+            usage.next_at = slot
         return wait
--- a/src/wardstair/gateway/reachability.py
+++ b/src/wardstair/gateway/reachability.py
@@ -1,7 +1,8 @@
-"""The task that finds out whether this host reaches upstreams.
+"""Monitors whether this host can reach upstreams.
 
-Requests tell most of it. When answers stop coming it asks a few upstreams, and
-while some are out of reach it asks one of them again and again.
+The outcomes of requests usually show it. If answers stop arriving, the monitor
+probes a few upstreams. While a group of upstreams is unreachable, it probes one
+of the group repeatedly.
 """
 
 import asyncio
@@ -19,23 +20,25 @@
 from wardstair.state.entries import UpstreamEntry
 from wardstair.state.roles import ignore
 
-# Upstreams asked in doubt; of different zones as far as there are.
-ASKED_IN_DOUBT = 3
-# Looks at a silence before it is believed: what came while this process did not
-# run is read between them.
-CLOSE_LOOKS = 3
-CLOSE_LOOK_SECONDS = 0.02
-# Part of the time of a silence after which it is looked at again.
-RELOOK_SHARE = 0.2
-_DEFAULT_PATH = '/'
+# Upstreams probed when reachability is in question, in different zones if
+# possible.
+PROBES_WHEN_SUSPECT = 3
+# Checks before silence counts as real. Answers that arrived while this process
+# was not scheduled are read between the checks.
+SILENCE_CHECKS = 3
+SILENCE_CHECK_SECONDS = 0.02
+# Fraction of the silence timeout after which an ongoing silence is checked
+# again.
+RECHECK_FRACTION = 0.2
+_DEFAULT_PROBE_PATH = '/'
 
 
 class ReachabilityMonitor:
-    """Asks upstreams when requests do not tell; one a process.
+    """Probes upstreams if requests do not show reachability; one per process.
 
     Attributes:
-        probes: Upstreams asked so far.
-        on_doubt: Called when a doubt begins.
+        probes: Number of upstreams probed.
+        on_suspect: Called when upstreams are suspected to be unreachable.
     """
 
     def __init__(
@@ -44,152 +47,154 @@
         pool: UpstreamPool,
         random: Random,
     ) -> None:
-        """Prepare without a task.
+        """Create a monitor without starting it.
 
         Args:
-            belief: What this host knows.
+            belief: The local state of this host.
             pool: Connections to upstreams.
-            random: Source of the choice of whom to ask.
+            random: Source of the random choice of upstreams.
         """
         self.probes = 0
-        self.on_suspected = ignore
-        self._reach = belief.reach
+        self.on_suspect = ignore
+        self._reachability = belief.reach
         self._belief = belief
         self._pool = pool
         self._random = random
-        self._doubted = asyncio.Event()
-        belief.reach.on_doubt = self._note_doubt
-        belief.reach.on_opening_doubt = self._doubted.set
+        self._wakeup = asyncio.Event()
+        belief.reach.on_doubt = self._on_suspect
+        belief.reach.on_opening_doubt = self._wakeup.set
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Monitor until cancelled."""
         while True:
             await self._wait()
-            await self._look()
-            await self._follow_up()
-
-    async def _look(self) -> None:
-        """Begin a doubt if there is reason for one."""
-        reach = self._reach
-        if reach.is_failing:
-            reach.begin_doubt('failures')
-        elif reach.is_sound and await self._is_silent():
-            reach.begin_doubt('silent')
-
-    async def _follow_up(self) -> None:
-        """Ask upstreams if any may be out of reach."""
-        reach = self._reach
-        if reach.is_doubted:
-            await self._ask(self._spread())
-            reach.end_doubt()
-        elif reach.opening.is_doubted:
-            await self._ask(self._spread())
-            reach.end_opening_doubt()
-        elif reach.lost or reach.opening.closed:
-            reach.refresh()
-            unreached = reach.lost | reach.opening.closed
-            await self._ask(self._next_of_each(unreached))
-
-    def _note_doubt(self) -> None:
-        self._doubted.set()
-        self.on_suspected()
+            await self._check_silence()
+            await self._probe_unreachable()
+
+    async def _check_silence(self) -> None:
+        """Suspect a loss of reachability after failures or silence."""
+        reachability = self._reachability
+        if reachability.is_failing:
+            reachability.begin_doubt('failures')
+        elif reachability.is_sound and await self._is_silent():
+            reachability.begin_doubt('silent')
+
+    async def _probe_unreachable(self) -> None:
+        """Probe upstreams if any may be unreachable."""
+        reachability = self._reachability
+        if reachability.is_doubted:
+            await self._probe_all(self._across_zones())
+            reachability.end_doubt()
+        elif reachability.opening.is_doubted:
+            await self._probe_all(self._across_zones())
+            reachability.end_opening_doubt()
+        elif reachability.lost or reachability.opening.closed:
+            reachability.refresh()
+            unreached = reachability.lost | reachability.opening.closed
+            await self._probe_all(self._one_per_group(unreached))
+
+    def _on_suspect(self) -> None:
+        self._wakeup.set()
+        self.on_suspect()
 
     async def _wait(self) -> None:
-        reach = self._reach
-        self._doubted.clear()
-        if reach.is_doubted or reach.opening.is_doubted:
+        reachability = self._reachability
+        self._wakeup.clear()
+        if reachability.is_doubted or reachability.opening.is_doubted:
             return
         try:
             async with asyncio.timeout(self._seconds_to_next()):
-                await self._doubted.wait()
+                await self._wakeup.wait()
         except TimeoutError:
-            # The usual case: nothing is in doubt.
+            # The usual case: nothing is suspected.
             return
 
     def _seconds_to_next(self) -> float:
-        times = self._reach.times()
-        if not (self._reach.is_sound and self._reach.opening.is_sound):
+        times = self._reachability.times()
+        if not (
+            self._reachability.is_sound and self._reachability.opening.is_sound
+        ):
             return times.probe
-        left = times.silence - self._reach.silent_seconds
-        return left if left > 0 else times.silence * RELOOK_SHARE
+        left = times.silence - self._reachability.silent_seconds
+        return left if left > 0 else times.silence * RECHECK_FRACTION
 
     async def _is_silent(self) -> bool:
-        """Return whether answers have stopped coming."""
-        answers = self._reach.answers
-        if not self._reach.looks_silent():
+        """Return whether answers have stopped arriving."""
+        answers = self._reachability.answers
+        if not self._reachability.looks_silent():
             return False
-        for _ in range(CLOSE_LOOKS):
-            await asyncio.sleep(CLOSE_LOOK_SECONDS)
-            if self._reach.answers != answers:
+        for _ in range(SILENCE_CHECKS):
+            await asyncio.sleep(SILENCE_CHECK_SECONDS)
+            if self._reachability.answers != answers:
                 return False
-        return self._reach.looks_silent()
+        return self._reachability.looks_silent()
 
-    def _members_of(self, group: str) -> list[UpstreamEntry]:
-        """Return who may be asked of a group, in random order."""
+    def _probe_candidates(self, group: str) -> list[UpstreamEntry]:
+        """Return the upstreams of a group outside evacuated zones, shuffled."""
         evacuated = self._belief.evacuated
         entries = [
             entry
-            for entry in self._reach.members_of(group)
+            for entry in self._reachability.members_of(group)
             if entry.zone not in evacuated
         ]
         self._random.shuffle(entries)
         return entries
 
-    def _spread(self) -> list[UpstreamEntry]:
-        """Return upstreams of different zones, and others if these are few."""
-        entries = self._members_of(ALL)
+    def _across_zones(self) -> list[UpstreamEntry]:
+        """Return upstreams of different zones, filled up if zones are few."""
+        entries = self._probe_candidates(ALL)
         zones: dict[str, int] = {}
-        turns = []
+        by_turn = []
         for entry in entries:
             zone = zone_group(entry.zone)
             zones[zone] = zones.get(zone, 0) + 1
-            turns.append((zones[zone], entry))
-        turns.sort(key=lambda turn: turn[0])
-        return [entry for _, entry in turns[:ASKED_IN_DOUBT]]
+            by_turn.append((zones[zone], entry))
+        by_turn.sort(key=lambda turn: turn[0])
+        return [entry for _, entry in by_turn[:PROBES_WHEN_SUSPECT]]
 
-    def _next_of_each(self, groups: Iterable[str]) -> list[UpstreamEntry]:
-        members = [self._members_of(group) for group in sorted(groups)]
+    def _one_per_group(self, groups: Iterable[str]) -> list[UpstreamEntry]:
+        members = [self._probe_candidates(group) for group in sorted(groups)]
         return [entries[0] for entries in members if entries]
 
-    async def _ask(self, entries: list[UpstreamEntry]) -> None:
+    async def _probe_all(self, entries: list[UpstreamEntry]) -> None:
         await asyncio.gather(*map(self._probe, entries))
 
     async def _probe(self, entry: UpstreamEntry) -> None:
-        """Ask one upstream anew; any answer says that it is reached."""
+        """Probe one upstream on a new connection; any answer is a success."""
         self.probes += 1
         try:
-            async with asyncio.timeout(self._reach.times().probe):
-                is_reached = await self._exchange(entry)
+            async with asyncio.timeout(self._reachability.times().probe):
+                has_answered = await self._exchange(entry)
         except TimeoutError:
-            is_reached = False
-        if is_reached:
-            self._reach.note_reached(entry)
-            self._reach.note_opened(entry)
-        elif is_reached is not None:
-            self._reach.note_failed(entry)
-            self._reach.note_unopened(entry)
+            has_answered = False
+        if has_answered:
+            self._reachability.note_reached(entry)
+            self._reachability.note_opened(entry)
+        elif has_answered is not None:
+            self._reachability.note_failed(entry)
+            self._reachability.note_unopened(entry)
 
     async def _exchange(self, entry: UpstreamEntry) -> bool | None:
-        """Return whether it answers; None if it could not be asked."""
-        made = await self._pool.connect(entry.name, entry.host, entry.port)
-        if isinstance(made, ConnectFailed):
-            return None if made.reason == CONNECTION_LIMIT else False
+        """Return whether an upstream answers; None if no probe was possible."""
+        connected = await self._pool.connect(entry.name, entry.host, entry.port)
+        if isinstance(connected, ConnectFailed):
+            return None if connected.reason == CONNECTION_LIMIT else False
         head = _probe_head(self._path_of(entry.service), entry)
         try:
-            ended = await made.send(
+            outcome = await connected.send(
                 head,
                 b'',
                 is_own=lambda _pairs: True,
                 is_head_only=False,
             )
         finally:
-            made.close()
-        return isinstance(ended, RawAnswer)
+            connected.close()
+        return isinstance(outcome, RawAnswer)
 
     def _path_of(self, service: str) -> str:
         steering = self._belief.steering
         known = None if steering is None else steering.services.get(service)
-        return _DEFAULT_PATH if known is None else known.health_path
+        return _DEFAULT_PROBE_PATH if known is None else known.health_path
 
 
 def _probe_head(path: str, entry: UpstreamEntry) -> bytes:
--- a/src/wardstair/gateway/settings.py
+++ b/src/wardstair/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one gateway process, decoded."""
+"""Decoded settings of a gateway process."""
 
 import math
 from collections.abc import Mapping
@@ -26,40 +26,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times and shares that the operators hold the fleet to.
+    """Limits that the operators require the fleet to keep.
 
-    Each default stands in for a bound that a deployment does not state. It is
-    chosen so that the bound is kept whatever it is within reason, not so that
-    requests are served best.
+    A default applies if a deployment does not state the limit. Defaults are
+    strict, so that any plausible limit is kept, even if requests are served
+    less well.
 
     Attributes:
-        drain_seconds: Time to stop sending to a draining upstream. Without
-            it the time between two heartbeats: nothing shorter can be kept.
-        grace_seconds: Time between the stop signal and the kill. Without it
-            ten seconds, the shortest that common supervisors leave: ending
-            sooner than needed would cut requests that the kill would not.
-        apply_seconds: Time for a configuration to be in force; without it as
-            for leaving upstreams.
-        evacuate_seconds: Time to stop sending to a zone that is emptied;
-            without it as for leaving upstreams.
-        contact_seconds: Time of undisturbed contact after which a host is
-            held to the other bounds. Without it two heartbeats, from which on
-            a host can tell that it has heard the others.
-        retry_ratio: Retries allowed a request, over the fleet. Without it one
-            in ten, the smallest that retry budgets usually allow.
-        retry_extra: Retries allowed beside that ratio in a window. Without
-            it ten in the whole fleet: a lost connection now and then.
-        retry_window: That window in seconds. Without it ten: within a longer
-            one the ratio weighs more than the fixed part, which is small.
-        cold_overshoot: Factor on a cold upstream's rate that is borne;
-            without it none above the rate.
-        cold_slack: Requests above that in one second that are borne; without
-            it none.
-        lookup_seconds: Longest time that a look-up may be cached; without it
-            a second, which costs look-ups but leaves no caller behind.
-        shift_share: Largest part of a region's requests that may move to
-            another region between two windows of two seconds. Without it a
-            twentieth, as far as the spread of keys lets a bound be kept.
+        drain_seconds: Time within which sending to a draining upstream stops.
+            The default is the heartbeat interval; nothing shorter can be kept.
+        grace_seconds: Time between the stop signal and the kill. The default
+            of ten seconds is the shortest that common supervisors use. Exiting
+            earlier than required would cut requests that could have completed.
+        apply_seconds: Time within which a configuration takes effect. The
+            default is that of `drain_seconds`.
+        evacuate_seconds: Time within which sending to an evacuated zone stops.
+            The default is that of `drain_seconds`.
+        contact_seconds: Time of undisturbed contact after which a host has to
+            keep the other limits. The default is two heartbeat intervals,
+            after which a host can tell that it receives the heartbeats of the
+            others.
+        retry_ratio: Retries allowed per request across the fleet. The default
+            of one in ten is the smallest common retry budget.
+        retry_extra: Retries allowed in a window in addition to that ratio. The
+            default of ten for the whole fleet covers an occasional lost
+            connection.
+        retry_window: Length of the window in seconds. The default is ten; in a
+            longer window the ratio matters more than the small fixed part.
+        cold_overshoot: Factor by which requests to a cold upstream may exceed
+            its rate. The default allows none above the rate.
+        cold_slack: Further requests allowed in one second; none by default.
+        lookup_seconds: Longest time that a look-up may be cached. The default
+            of one second costs more look-ups, but callers do not keep the
+            addresses of hosts that have left.
+        shift_share: Largest fraction of a region's requests that may move to
+            another region from one window of two seconds to the next. The
+            default is a twentieth, the smallest that the distribution of keys
+            allows to be kept.
     """
 
     drain_seconds: float = 1.0
@@ -101,37 +104,38 @@
     """How often upstreams renew their entries in the store.
 
     Attributes:
-        upstream_seconds: The period. The stand-in is that of each deployment
-            known; where it is too short, fewer ends are proved.
+        upstream_seconds: The interval. All known deployments use the default.
+            If it is too short for a deployment, fewer exits are proved.
     """
 
     upstream_seconds: float = 1.5
 
     @property
     def expiry_seconds(self) -> float:
-        """Time until the entry of an upstream that ended is known as gone.
+        """Time until the entry of an upstream that exited is known as expired.
 
-        An entry lapses after three periods of silence; a fourth is left for
-        the store and other hosts to tell.
+        An entry expires after three intervals without renewal. A fourth allows
+        for the time until the store and other hosts report it.
         """
         return 4 * self.upstream_seconds
 
     @property
     def tolerated_outage_seconds(self) -> float:
-        """Time for which the store may be away without an entry lapsing.
+        """Time for which the store may be unavailable without entries expiring.
 
-        Its upstream may have written it up to one period before.
+        An entry may have been renewed last up to one interval before the store
+        became unavailable.
         """
         return 2 * self.upstream_seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """A setting that the file does not give.
+    """A setting that is missing from the file.
 
     Attributes:
         name: Its name in the file.
-        used: What is used in its place.
+        used: The default used instead.
     """
 
     name: str
@@ -144,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Everything a gateway learns from its settings file.
+    """The settings that a gateway reads from its file.
 
     Attributes:
         name: Name of this host.
@@ -153,22 +157,22 @@
         zones: Region of each zone.
         callers: Listener for callers' requests.
         ready: Listener for readiness checks.
-        control: Listener whose address other hosts have as a seed.
+        control: Listener whose address other hosts use as a seed.
         lookups: Listener for look-ups.
         metrics: Listener for scrapes of metrics.
-        fleet_ports: First and last port for talk between entry hosts.
-        seeds: Addresses (`ip:port`) of entry hosts to ask first.
+        fleet_ports: First and last port for traffic between entry hosts.
+        seeds: Addresses (`ip:port`) of entry hosts to contact at start.
         store: Address (`ip:port`) of the platform's store.
         memory_bytes: Memory limit of the process.
         descriptors: Limit of open sockets and files.
         cores: Processor cores that this host may use.
         is_first_start: Whether the whole fleet starts for the first time.
-        placement: By what rule upstreams are chosen.
-        switched_off: Mechanisms that are not to be used.
-        bounds: What the fleet is held to.
+        placement: The policy by which upstreams are chosen.
+        switched_off: Mechanisms that are disabled.
+        bounds: Limits that the fleet has to keep.
         organisation_bounds: Limits that apply where requests need API keys.
         heartbeat: How often upstreams renew their entries.
-        gaps: Settings that the file does not give, with their stand-ins.
+        gaps: Settings that are missing from the file, with their defaults.
     """
 
     name: str
@@ -201,7 +205,7 @@
 
     @property
     def update_bound_seconds(self) -> float:
-        """The tightest bound on news, in seconds."""
+        """The shortest time within which an update must take effect."""
         bounds = self.bounds
         return min(
             bounds.drain_seconds,
@@ -211,13 +215,13 @@
 
     @property
     def timing(self) -> Timing:
-        """How often this host looks, so that it keeps the bounds."""
+        """The intervals and timeouts by which this host keeps its bounds."""
         return timing_for(
             self.update_bound_seconds, self.bounds.contact_seconds
         )
 
     def uses(self, mechanism: Mechanism) -> bool:
-        """Return whether a mechanism is to be used."""
+        """Return whether a mechanism is enabled."""
         return mechanism not in self.switched_off
 
     def is_in_region(self, zone: str) -> bool:
@@ -229,8 +233,9 @@
 class LiveSettings:
     """The settings in force; replaced as a whole when the file changes.
 
-    Addresses and ports hold for the life of the process: its sockets are
-    bound to them. Zones, bounds and the placement are read at each use.
+    Changes of addresses and ports have no effect until the process restarts,
+    since its sockets are bound. Zones, bounds and the placement policy are read
+    at each use.
 
     Attributes:
         current: The settings in force.
--- a/src/wardstair/gateway/updates.py
+++ b/src/wardstair/gateway/updates.py
@@ -1,4 +1,4 @@
-"""Tells other entry hosts at once what this one has learned."""
+"""Sends state updates of this host to other entry hosts at once."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,10 +10,11 @@
 
 
 class UpdateSender:
-    """Sends small news as state, then heartbeats for hosts that lack more.
+    """Sends small updates as state datagrams, followed by heartbeats.
 
-    Both are sent twice, as datagrams are lost. A relay sends state to its
-    zone, a sentinel to the relays of other zones as well.
+    The heartbeats let hosts that lack more than the update notice it. Both are
+    sent twice, since datagrams may be lost. A relay sends the state to its own
+    zone, a sentinel also to the relays of other zones.
     """
 
     def __init__(
@@ -23,44 +24,45 @@
         roles: Roles,
         timing: Callable[[], Timing],
     ) -> None:
-        """Prepare with nothing to tell.
+        """Create a sender without pending updates.
 
         Args:
             radio: Sends datagrams.
-            exchange: Knows what is new.
-            roles: What this host does for others.
-            timing: When to tell again, by the bounds in force.
+            exchange: Provides the updates.
+            roles: The roles of this host.
+            timing: Returns when to repeat an update, by the bounds in force.
         """
         self._radio = radio
         self._exchange = exchange
         self._roles = roles
         self._timing = timing
-        self._repeat: asyncio.TimerHandle | None = None
+        self._repeat_timer: asyncio.TimerHandle | None = None
 
     def send_update(self) -> None:
-        """Tell what is new now, and once more a little later."""
+        """Send the latest update now and once more after a short delay."""
         if not self._roles.is_relay():
             return
-        news = self._exchange.take_news()
-        if news is None:
-            # Others may lack what hosts merge; the next heartbeat tells again.
+        update = self._exchange.take_news()
+        if update is None:
+            # Other hosts may lack state that hosts merge. The regular
+            # heartbeats repeat this one.
             self._radio.send_beats()
             return
-        self._send(news)
+        self._send(update)
         self.close()
-        self._repeat = asyncio.get_running_loop().call_later(
+        self._repeat_timer = asyncio.get_running_loop().call_later(
             self._timing().repeat,
             self._send,
-            news,
+            update,
         )
 
     def close(self) -> None:
-        """Tell nothing again."""
-        if self._repeat is not None:
-            self._repeat.cancel()
+        """Cancel the pending repetition."""
+        if self._repeat_timer is not None:
+            self._repeat_timer.cancel()
 
-    def _send(self, news: News) -> None:
-        if news.state is not None:
+    def _send(self, update: News) -> None:
+        if update.state is not None:
             is_sentinel = self._roles.is_sentinel()
-            self._radio.send_state(news.state, to_others=is_sentinel)
+            self._radio.send_state(update.state, to_others=is_sentinel)
         self._radio.send_beats()
--- a/tests/unit/test_announcing.py
+++ b/tests/unit/test_announcing.py
@@ -1,4 +1,4 @@
-"""When other hosts are told that this one has learned something."""
+"""When changes of a host's state are announced to other hosts."""
 
 import asyncio
 
@@ -8,48 +8,48 @@
 
 
 @pytest.mark.parametrize(
-    ('least_seconds', 'tellings'),
+    ('min_interval_seconds', 'announcements'),
     [
-        pytest.param(0.0, 2, id='as soon as there is more'),
-        pytest.param(60.0, 1, id='not before the pause is over'),
+        pytest.param(0.0, 2, id='without a minimum interval'),
+        pytest.param(60.0, 1, id='within the minimum interval'),
     ],
 )
-def test_news_of_one_moment_are_told_once(
-    least_seconds: float,
-    tellings: int,
+def test_changes_of_one_moment_are_announced_once(
+    min_interval_seconds: float,
+    announcements: int,
 ) -> None:
     async def test() -> None:
-        told: list[None] = []
-        is_told = asyncio.Event()
+        announced: list[None] = []
+        is_announced = asyncio.Event()
 
-        def tell() -> None:
-            told.append(None)
-            is_told.set()
+        def announce() -> None:
+            announced.append(None)
+            is_announced.set()
 
-        teller = ChangeAnnouncer(tell, least_seconds)
+        announcer = ChangeAnnouncer(announce, min_interval_seconds)
         for _ in range(5):
-            teller.note()
-        await asyncio.wait_for(is_told.wait(), 10)
-        is_told.clear()
+            announcer.schedule()
+        await asyncio.wait_for(is_announced.wait(), 10)
+        is_announced.clear()
         for _ in range(5):
-            teller.note()
-        if tellings > 1:
-            await asyncio.wait_for(is_told.wait(), 10)
+            announcer.schedule()
+        if announcements > 1:
+            await asyncio.wait_for(is_announced.wait(), 10)
         else:
             await asyncio.sleep(3 * ANNOUNCE_DELAY_SECONDS)
-        teller.close()
-        assert len(told) == tellings
+        announcer.close()
+        assert len(announced) == announcements
 
     asyncio.run(test())
 
 
-def test_nothing_is_told_after_the_end() -> None:
+def test_nothing_is_announced_after_close() -> None:
     async def test() -> None:
-        told: list[None] = []
-        teller = ChangeAnnouncer(lambda: told.append(None))
-        teller.note()
-        teller.close()
+        announced: list[None] = []
+        announcer = ChangeAnnouncer(lambda: announced.append(None))
+        announcer.schedule()
+        announcer.close()
         await asyncio.sleep(2 * ANNOUNCE_DELAY_SECONDS)
-        assert not told
+        assert not announced
 
     asyncio.run(test())
--- a/tests/unit/test_gateway_settings.py
+++ b/tests/unit/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""The settings file, as the platform fills it from our template."""
+"""Settings read from a file that is rendered from the template."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -43,7 +43,7 @@
         ('memory_megabytes = 300', 'memory_megabytes = 0'),
     ],
 )
-def test_a_wrong_file_is_refused_with_a_hint(
+def test_an_invalid_file_is_rejected_with_a_hint(
     tmp_path: Path,
     before: str,
     after: str,
@@ -64,7 +64,7 @@
         (None, Heartbeat.upstream_seconds, ['heartbeat_milliseconds']),
     ],
 )
-def test_the_period_of_entries_is_the_deployments(
+def test_the_heartbeat_interval_is_read_or_defaulted(
     tmp_path: Path,
     given: int | None,
     seconds: float,
@@ -75,11 +75,11 @@
     settings = load_settings(file)
     assert settings.heartbeat.upstream_seconds == seconds
     assert [gap.name for gap in settings.gaps] == missing
-    # Three heartbeats that did not come, and one for the word of it.
+    # Three missed heartbeats, and one interval until others report it.
     assert settings.heartbeat.expiry_seconds == 4 * seconds
 
 
-def test_changed_settings_are_in_force_at_once() -> None:
+def test_changed_settings_apply_at_once() -> None:
     before = gateway_settings(1)
     host = GatewayHost(before, Random(1))
     after = replace(before, zones={**before.zones, 'new-a': 'north'})
@@ -88,7 +88,7 @@
     assert host.adopt_settings(after) == []
 
 
-def test_no_listener_of_a_test_gateway_has_the_fleets_port(
+def test_no_listener_of_a_test_gateway_uses_the_fleet_port(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     drawn = iter([[1, 2, 3, 4, 5, 6], [7, 8, 9, 10, 11, 12]])
--- a/tests/unit/test_limited_sends.py
+++ b/tests/unit/test_limited_sends.py
@@ -1,4 +1,4 @@
-"""What callers get of upstreams that name limits, and whose keys move."""
+"""Sends and retry times when upstreams report rate limits."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 SECONDS = 30.0
 UPSTREAMS = 6
-USED = 0.8
+MIN_FRACTION_USED = 0.8
 
 
 def steady(rate: float) -> Callable[[float], float]:
@@ -28,35 +28,37 @@
 
 
 @pytest.mark.parametrize('limit', [0.5, 1.0, 4.0])
-def test_callers_get_what_upstreams_take_when_all_name_a_limit(
+def test_limits_are_used_when_all_upstreams_report_one(
     limit: float,
 ) -> None:
-    """Ten times what they take is asked for."""
+    """The callers send ten times as many requests as the upstreams accept."""
     service = LimitedService([limit] * UPSTREAMS)
     served = service.play(steady(limit * UPSTREAMS * 10), SECONDS)
     good = served.first + served.later
-    assert good >= limit * UPSTREAMS * SECONDS * USED
+    assert good >= limit * UPSTREAMS * SECONDS * MIN_FRACTION_USED
     for came in served.came.values():
         assert most_in_window(came) <= bound_of(limit).borne
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_callers_that_are_told_places_are_served_more_often(seed: int) -> None:
-    """0.70 of them, and 0.66 of those that are all told 0.4 s, on average.
+def test_staggered_retries_serve_more_callers_than_a_fixed_wait(
+    seed: int,
+) -> None:
+    """On average 0.70 are served, and 0.66 with a fixed wait of 0.4 s.
 
-    Callers come in bursts: 60 a second for two seconds, then 8 for eight.
+    Callers arrive in bursts: 60 a second for two seconds, then 8 for eight.
     """
 
     def bursts(now: float) -> float:
         return 60.0 if now % 10 < 2 else 8.0
 
     limits: list[float | None] = [4.0] * UPSTREAMS
-    told = LimitedService(limits, seed).play(bursts, 40)
-    same = LimitedService(limits, seed).play(bursts, 40, fixed_wait=0.4)
-    assert told.refused / told.all < same.refused / same.all
+    staggered = LimitedService(limits, seed).play(bursts, 40)
+    fixed = LimitedService(limits, seed).play(bursts, 40, fixed_wait=0.4)
+    assert staggered.refused / staggered.all < fixed.refused / fixed.all
 
 
-def test_nobody_is_refused_while_one_upstream_names_no_limit() -> None:
+def test_no_caller_is_refused_while_one_upstream_has_no_limit() -> None:
     limits: list[float | None] = [0.5] * (UPSTREAMS - 1)
     service = LimitedService([*limits, None])
     served = service.play(steady(30.0), SECONDS)
@@ -69,7 +71,7 @@
     part: float,
     table: LimitTable | None = None,
 ) -> tuple[LimitedSends, Upstream]:
-    """Return a host with a part of the fleet's callers, and an upstream."""
+    """Return a host with a part of the fleet's load, and an upstream."""
     table = table or LimitTable(Clock())
     upstream = Upstream(replace(ENTRY, zone='a'))
     table.note(upstream, ToldLimit(rate))
@@ -83,15 +85,15 @@
 @pytest.mark.parametrize(
     ('part', 'wanted', 'drawn'),
     [
-        # It has all callers of the fleet: none to stand for.
+        # The host has the load of the whole fleet and sends for no other host.
         pytest.param(1.0, 0, 1.0, id='alone'),
-        # A tenth of the callers, and the whole of the limit.
+        # The host has a tenth of the load and may use the whole limit.
         pytest.param(0.1, 0, 10.0, id='few callers'),
         pytest.param(0.1, 100, 1.0, id='many callers'),
         pytest.param(0.001, 0, MAX_WEIGHT_FACTOR, id='hardly any callers'),
     ],
 )
-def test_keys_are_drawn_to_hosts_that_send_for_others(
+def test_hosts_that_send_for_others_raise_the_weight(
     part: float,
     wanted: int,
     drawn: float,
@@ -107,7 +109,7 @@
     assert upstream.drawn == pytest.approx(drawn)
 
 
-def test_keys_go_back_when_the_limit_ends() -> None:
+def test_the_weight_returns_to_one_when_the_limit_ends() -> None:
     clock = Clock()
     table = LimitTable(clock)
     sends, upstream = limited(0.5, 0.1, table)
@@ -125,25 +127,25 @@
 @pytest.mark.parametrize(
     ('rate', 'hosts', 'waits'),
     [
-        # Each next one gets the next place, a second and a half further on.
+        # Slots are one and a half seconds apart.
         (2.0, 3, [1.5, 3.0, 4.5]),
         (1000.0, 1, [0.001, 0.002, 0.003]),
-        # Named zero: it is asked once in ten seconds.
+        # A limit of zero still allows one request in ten seconds.
         (0.0, 1, [10.0, 20.0, MAX_WAIT_SECONDS]),
         (0.0, 1200, [MAX_WAIT_SECONDS] * 3),
     ],
 )
-def test_each_caller_is_told_another_place(
+def test_each_caller_gets_another_retry_slot(
     rate: float,
     hosts: int,
     waits: list[float],
 ) -> None:
     sends, upstream = limited(rate, 1.0)
-    told = [sends.wait([upstream], hosts, 1000.0, 50.0) for _ in waits]
-    assert told == pytest.approx(waits)
+    staggered = [sends.wait([upstream], hosts, 1000.0, 50.0) for _ in waits]
+    assert staggered == pytest.approx(waits)
 
 
-def test_a_caller_that_will_not_wait_takes_no_place() -> None:
+def test_a_caller_that_will_not_wait_takes_no_slot() -> None:
     sends, upstream = limited(1.0, 1.0)
     assert sends.wait([upstream], 1, 2.9, 50.0) == pytest.approx(1.0)
     assert sends.wait([upstream], 1, 3.1, 50.0) == pytest.approx(1.0)
--- a/tests/unit/test_program.py
+++ b/tests/unit/test_program.py
@@ -1,4 +1,4 @@
-"""The begin of the gateway's process: signals and settings that come early."""
+"""Signals and changes of settings while the gateway process starts."""
 
 import asyncio
 import signal
@@ -18,7 +18,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _keep_hang_up() -> Iterator[None]:
+def _restore_hang_up_handler() -> Iterator[None]:
     kept = signal.getsignal(signal.SIGHUP)
     yield
     signal.signal(signal.SIGHUP, kept)
@@ -39,7 +39,7 @@
     assert seen == [(program.__name__, signal.SIG_IGN), 'run']
 
 
-def test_the_command_itself_loads_nothing_slow() -> None:
+def test_the_command_does_not_import_slow_modules() -> None:
     source = Path(gateway.__file__).parents[2]
     code = 'import sys, wardstair.cli.gateway; print("tornado" in sys.modules)'
     printed = subprocess.run(
@@ -52,13 +52,13 @@
     assert printed.stdout == 'False\n'
 
 
-def test_settings_written_while_the_program_starts_are_read(
+def test_settings_written_while_the_program_starts_are_reloaded(
     monkeypatch: pytest.MonkeyPatch,
     tmp_path: Path,
 ) -> None:
     file = tmp_path / 'gateway.toml'
     file.write_text('as it was read')
-    monkeypatch.setattr(program, 'LOOK_SECONDS', 0.01)
+    monkeypatch.setattr(program, 'SETTINGS_POLL_SECONDS', 0.01)
     monkeypatch.setattr(program, 'load_settings', Path.read_text)
     adopted = asyncio.Event()
     settings: list[str] = []
