--- a/src/wardstair/gateway/announcing.py
+++ b/src/wardstair/gateway/announcing.py
@@ -21,7 +21,7 @@
 
         Args:
             announce: Sends heartbeats to all hosts that should get one.
-            min_interval_seconds: Minimum time in seconds between two announcements.
+            min_interval_seconds: Minimum time between two announcements.
         """
         self.announce = announce
         self._min_interval_seconds = min_interval_seconds
--- a/tests/unit/test_cold_after_start.py
+++ b/tests/unit/test_cold_after_start.py
@@ -1,25 +1,15 @@
-"""A cold upstream after a start of many hosts.
-
-What users saw: a region came back after a loss of power, and two of its
-upstreams, cold for three seconds more, got 20 and 24 requests in one second
-where 19.9 are borne. The order of events: the region's hosts and upstreams
-were lost; all other hosts lost power as well; the upstreams started; all
-hosts started within a tenth of a second; in that same second the requests
-came.
-
-The cause: what a host may send to a cold upstream follows from whom it hears.
-One that had heard nobody yet took itself for the only host of the fleet, and
-each of twelve sent as much as two are meant to send together.
-
-The evidence: a host of the program that users ran was assembled and asked. By
-its view it was settled, alone and in a fleet of one, and allowed itself 6.93
-requests a second to an upstream of any zone until its first sweep, half a
-second later. Twelve such hosts make 12 sends at once and 48 in that time. The
-same order of events was played with that program: 21 and 20 requests in a
-second, sent by all twelve hosts, also those of other regions, each within 1.3 s
-of its start, to upstreams that they knew as cold. Played with this one: none.
-The same mistake comes back later if nobody answers within the wait after a
-start: 2.5 s after it the host counted as settled whatever it had heard.
+"""Requests to a cold upstream after many hosts start at once.
+
+Guards against this failure: all hosts started within a tenth of a second after
+a loss of power, and two upstreams that were still cold got 20 and 24 requests
+in one second, where the limit is 19.9. A host's share of the limit depends on
+the hosts that it hears. A host that had not heard any other yet considered
+itself settled and the only host of the fleet. It allowed itself 6.93 requests a
+second to an upstream of any zone until its first sweep, half a second later.
+Twelve such hosts can send 12 requests at once and 48 in that half second.
+
+The same could happen later: a host that no other answered within 2.5 s of its
+start considered itself settled.
 """
 
 import asyncio
@@ -43,8 +33,8 @@
 OTHER_ZONE = 'south-a'
 
 
-def hosts_of_a_zone(amount: int) -> list[GatewayHost]:
-    """Return hosts that have been assembled and have heard nobody."""
+def assemble_hosts(amount: int) -> list[GatewayHost]:
+    """Return hosts that have not received any heartbeat."""
 
     async def assemble() -> list[GatewayHost]:
         return [
@@ -55,8 +45,8 @@
     return asyncio.run(assemble())
 
 
-def settle(host: GatewayHost) -> HostView:
-    """Let the wait after a start be over; return what the host sees then."""
+def end_settling(host: GatewayHost) -> HostView:
+    """End the time for settling after a start and return the host's view."""
     host.views.settle_seconds = 0
     host.views.refresh()
     return host.chooser.view
@@ -68,46 +58,46 @@
     amount: int,
     zone: str,
 ) -> None:
-    views = [host.chooser.view for host in hosts_of_a_zone(amount)]
+    views = [host.chooser.view for host in assemble_hosts(amount)]
     assert most_sent(views, LIMIT, zone) == 0
 
 
 @pytest.mark.parametrize('amount', [3, 12, 45])
-def test_hosts_that_nobody_answers_stay_in_the_bound(amount: int) -> None:
-    hosts = hosts_of_a_zone(amount)
-    views = [settle(host) for host in hosts]
+def test_hosts_without_any_answer_keep_the_limit(amount: int) -> None:
+    hosts = assemble_hosts(amount)
+    views = [end_settling(host) for host in hosts]
     assert most_sent(views, LIMIT, OWN_ZONE) <= most_allowed(LIMIT)
 
 
-def test_hosts_that_hear_one_another_share_the_bound() -> None:
-    hosts = hosts_of_a_zone(3)
+def test_hosts_that_hear_one_another_share_the_limit() -> None:
+    hosts = assemble_hosts(3)
     for host in hosts:
         for other in hosts:
             host.members.hear(beat_of(other.members.own))
-    sent = most_sent([settle(host) for host in hosts], LIMIT, OWN_ZONE)
+    sent = most_sent([end_settling(host) for host in hosts], LIMIT, OWN_ZONE)
     assert 0 < sent <= most_allowed(LIMIT)
 
 
 @pytest.mark.parametrize(
     ('listed', 'sends'),
     [
-        # Listed before it had registered: others may be in the same place.
+        # Listed before this host registered: others may be missing too.
         ((), False),
         (('host-0',), True),
         (('host-0', 'host-9'), False),
     ],
 )
-def test_a_host_that_hears_nobody_asks_the_store_whether_it_is_the_only_one(
+def test_a_host_without_peers_sends_only_if_the_registry_lists_no_other(
     listed: tuple[str, ...],
     *,
     sends: bool,
 ) -> None:
-    (host,) = hosts_of_a_zone(1)
+    (host,) = assemble_hosts(1)
     host.members.note_registry(listed)
-    assert bool(most_sent([settle(host)], LIMIT, OWN_ZONE)) is sends
+    assert bool(most_sent([end_settling(host)], LIMIT, OWN_ZONE)) is sends
 
 
-def test_the_wait_begins_with_the_first_host_that_is_heard() -> None:
+def test_settling_starts_with_the_first_heartbeat_received() -> None:
     clock = Clock()
     members = Members(peer_of('a'), clock)
     clock.now += 100
@@ -115,7 +105,7 @@
     members.hear(beat_of(peer_of('b')))
     clock.now += 2
     assert not members.knows_fleet(2.5)
-    # A pause of this process is no time in which it could hear anybody.
+    # A pause of this process does not count, since it receives nothing then.
     clock.now += 10
     members.forgive_pause(10)
     assert not members.knows_fleet(2.5)
@@ -123,13 +113,13 @@
     assert members.knows_fleet(2.5)
 
 
-def test_zones_are_known_some_time_after_somebody_is_heard(
+def test_zones_are_known_some_time_after_the_first_heartbeat(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Who hears somebody late takes no zone for one without hosts yet."""
+    """A host that hears others late must not treat a zone as empty yet."""
     clock = Clock()
     monkeypatch.setattr(host_module, 'time', SimpleNamespace(monotonic=clock))
-    (host,) = hosts_of_a_zone(1)
+    (host,) = assemble_hosts(1)
     clock.now += 2 * ZONE_DISCOVERY_SECONDS
     host.members.hear(beat_of(peer_of('host-9', OWN_ZONE)))
     clock.now += host.views.settle_seconds
--- a/tests/unit/test_fleet_shares.py
+++ b/tests/unit/test_fleet_shares.py
@@ -1,4 +1,4 @@
-"""What each host may do by itself so that the fleet keeps its bounds."""
+"""Shares of each host by which the whole fleet keeps its limits."""
 
 from collections import Counter
 from random import Random
@@ -59,7 +59,7 @@
     for end in range(10, 26, 3):
         in_window = sum(1 for at in firsts if end - 10 <= at < end)
         again = sum(1 for at in resends if end - 10 <= at < end)
-        # A resend may fall into a window whose firsts have just left it.
+        # A resend may fall into the window after that of its first send.
         earlier = sum(1 for at in firsts if end - 20 <= at < end - 10)
         most = max(in_window, earlier)
         assert again <= FLEET.ratio * most + FLEET.extra
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize(
     'views',
     [
-        # All agree; two halves; every host alone.
+        # All hosts agree; two halves; every host alone.
         [(12, 12)] * 12,
         [(6, 12)] * 12,
         [(1, 12)] * 12,
@@ -89,18 +89,20 @@
         [(30, 45)] * 30 + [(15, 45)] * 15,
     ],
 )
-def test_cold_sends_of_all_hosts_stay_in_the_bound(
+def test_cold_sends_of_all_hosts_stay_within_the_limit(
     views: list[tuple[int, int]],
     limit: ColdLimit,
 ) -> None:
     names = [f'host-{number}' for number in range(len(views))]
-    seen = []
+    views_seen = []
     for number, (live, known) in enumerate(views):
         start = number - number % live
         heard = (names * 2)[start : start + live]
         own = names[number]
-        seen.append(settled_view(own, 'z', {*heard, own}, names[:known], known))
-    assert most_sent(seen, limit) <= most_allowed(limit)
+        views_seen.append(
+            settled_view(own, 'z', {*heard, own}, names[:known], known)
+        )
+    assert most_sent(views_seen, limit) <= most_allowed(limit)
 
 
 def test_a_host_that_has_just_started_sends_nothing_to_a_cold_upstream() -> (
@@ -110,8 +112,8 @@
     assert sender_rate('i-1', 'z', COLD, view) == 0
 
 
-def test_a_zone_that_is_not_heard_of_yet_is_left_to_its_own_hosts() -> None:
-    """Hosts that know few zones would each choose another to stand in."""
+def test_a_zone_without_known_hosts_is_left_to_its_own_hosts() -> None:
+    """Hosts that know few zones would each choose a different substitute."""
     views = [
         settled_view(
             f'{zone}-1',
@@ -129,11 +131,11 @@
 
 @pytest.mark.parametrize('zones', [8, 62])
 @pytest.mark.parametrize('has_own', [True, False])
-def test_a_cold_upstream_is_sent_to_from_one_zone(
+def test_hosts_of_one_zone_send_to_a_cold_upstream(
     zones: int,
     has_own: bool,
 ) -> None:
-    """Its own zone's hosts, or those of the one that stands in for it."""
+    """Those of its own zone, or of the zone that substitutes for it."""
     names = [f'y{number}' for number in range(zones)] + ['z'] * has_own
     views = []
     for zone in names:
@@ -147,7 +149,7 @@
     sending = [
         view.zone for view, rate in zip(views, rates, strict=True) if rate > 0
     ]
-    # What other views may send at the same time has room beside it.
+    # This leaves a margin for hosts with other views.
     assert sum(rates) <= COLD.rate
     assert len(sending) == 2
     assert len(set(sending)) == 1
@@ -182,20 +184,20 @@
 @pytest.mark.parametrize(
     ('weights', 'keys'),
     [
-        # Drawn once by the test above: the first part had 0.303 of the
-        # requests in place of 0.364.
+        # Found by the test above: the first part had 0.303 of the requests
+        # instead of 0.364.
         ([0.640625, 0.12109375, 1.0], 16),
         ([1.0] * 5, 40),
     ],
 )
-def test_no_part_of_many_falls_behind_its_weight(
+def test_no_part_of_a_split_falls_behind_its_weight(
     weights: list[float],
     keys: int,
 ) -> None:
-    """All parts but one may run ahead a little each, and that one lag by all.
+    """Each other part may be slightly ahead, and the differences add up.
 
-    A share moves by at most one request beyond the tolerance; the first few
-    requests of a host cannot be nearer than one.
+    A share may exceed the tolerance by one request, since the first few
+    requests of a host cannot be divided more precisely.
     """
     shares = [(f'part {n}', weight) for n, weight in enumerate(weights)]
     most_behind = 0.0
@@ -212,7 +214,7 @@
     assert most_behind <= TOLERANCE + 1 / 600
 
 
-def test_a_key_keeps_to_its_part_while_weights_are_met() -> None:
+def test_keys_keep_their_part_while_weights_are_met() -> None:
     tally = SplitTally()
     random = Random(1)
     parts: dict[str, Counter[str]] = {}
@@ -226,7 +228,7 @@
     assert moved < 4000 * 0.05
 
 
-def test_sentinels_are_the_same_for_all_and_of_different_regions() -> None:
+def test_all_hosts_choose_the_same_sentinels_of_different_regions() -> None:
     regions = {'a1': 'a', 'a2': 'a', 'b1': 'b'}
     hosts = [
         Watcher(f'h{n}', zone) for n, zone in enumerate(['a1', 'a2', 'b1'])
@@ -239,14 +241,14 @@
     assert chosen[1] in choose_sentinels(left, regions)
 
 
-def test_a_budget_that_nobody_draws_on_stays_small() -> None:
+def test_an_unused_budget_stays_small() -> None:
     budget = ResendBudget()
     for number in range(20000):
         budget.note_first(number / 100)
     assert budget.size <= LONGEST_WINDOW * 100 + 1
 
 
-def test_a_host_that_is_silent_for_very_long_is_no_member_any_more() -> None:
+def test_a_host_is_removed_after_a_long_silence() -> None:
     now = [0.0]
     own, other = PeerName('a', 'z', '1', '1:1'), PeerName('b', 'z', '2', '2:1')
     members = Members(own, lambda: now[0])
@@ -255,15 +257,15 @@
     now[0] = GONE_SECONDS - 1
     members.check()
     assert members.live_names() == {'a'}
-    # It may be cut off and go on spending its part of what the fleet shares.
+    # It may be cut off and still use its share of the fleet's limits.
     assert 'b' in members.table
     now[0] = GONE_SECONDS + 1
     members.check()
     assert 'b' not in members.table
 
 
-def test_hosts_that_have_just_started_spend_as_part_of_a_large_fleet() -> None:
-    """As after a loss of power, when none of 195 hosts knows the others."""
+def test_hosts_that_have_just_started_assume_a_large_fleet() -> None:
+    """After a loss of power, none of 195 hosts knows the others."""
     host = GatewayHost(gateway_settings(1), Random(1))
     bounds = host.settings.bounds
     fleet = ResendLimit(
@@ -271,9 +273,9 @@
         bounds.retry_extra,
         bounds.retry_window,
     )
-    spent = host_limit(fleet, host.chooser.view.fleet_size).extra * 195
-    assert spent < fleet.extra / 5
-    # The wait is over, and nobody was heard in it.
+    total_extra = host_limit(fleet, host.chooser.view.fleet_size).extra * 195
+    assert total_extra < fleet.extra / 5
+    # The time for settling is over without any heartbeat received.
     host.views.settle_seconds = 0
     host.views.refresh()
     assert host.chooser.view.fleet_size == UNSETTLED_FLEET_SIZE
--- a/tests/unit/test_joining.py
+++ b/tests/unit/test_joining.py
@@ -1,4 +1,4 @@
-"""How hosts find each other through seeds and one another, without a store."""
+"""How hosts discover each other through seeds and peers, without a store."""
 
 import asyncio
 from random import Random
@@ -18,20 +18,20 @@
 )
 from wardstair.gateway.fleet_views import ZONE_DISCOVERY_SECONDS
 
-SETTLED_BEATS = 12
-# 9 zones took 7; with a name less often it was 15.
-ZONES_KNOWN_BEATS = 10
+SETTLING_BEATS = 12
+# With 9 zones it takes 7; it took 15 when hosts passed names on less often.
+ZONE_DISCOVERY_BEATS = 10
 
 
-def assert_alive(wire: Wire, first: int, second: int) -> None:
-    """Check that the hosts of two zones hear all of their own."""
+def assert_zone_sizes(wire: Wire, first: int, second: int) -> None:
+    """Check that hosts of two zones hear all hosts of their own zone."""
     for members, _radio in wire.hosts.values():
         expected = first if members.own.zone == 'a' else second
         assert len(members.live_in_zone()) == expected
 
 
-def assert_whole(wire: Wire, zones: int, hosts: int) -> None:
-    """Check that all know their zone, and relays hear all other zones."""
+def assert_fleet_complete(wire: Wire, zones: int, hosts: int) -> None:
+    """Check that hosts hear their own zone and relays hear all zones."""
     for members, _radio in wire.hosts.values():
         assert len(members.live_in_zone()) == hosts, members.own.name
         assert members.fleet_size == zones * hosts
@@ -61,23 +61,23 @@
         random.shuffle(peers)
         seeds = [peer.address for peer in peers[-3:]]
         wire.start(peers, seeds)
-        wire.beat(SETTLED_BEATS)
+        wire.beat(SETTLING_BEATS)
         wire.passes = lambda _sender, _receiver: True
-        # What was lost last does not count; three beats bring it back.
+        # Three heartbeats without loss make up for the last lost datagrams.
         wire.beat(3)
-        assert_whole(wire, zones, hosts)
+        assert_fleet_complete(wire, zones, hosts)
 
     asyncio.run(test())
 
 
-def test_every_host_hears_of_every_zone() -> None:
+def test_every_host_discovers_every_zone() -> None:
     async def test() -> None:
         wire = Wire()
         zones = [f'z{number}' for number in range(9)]
         peers = [p for zone in zones for p in zone_hosts(zone, 22)]
         wire.start(peers, [peers[0].address])
-        wire.beat(ZONES_KNOWN_BEATS)
-        assert ZONES_KNOWN_BEATS < ZONE_DISCOVERY_SECONDS
+        wire.beat(ZONE_DISCOVERY_BEATS)
+        assert ZONE_DISCOVERY_BEATS < ZONE_DISCOVERY_SECONDS
         for members, _radio in wire.hosts.values():
             assert members.zones() == set(zones)
 
@@ -85,14 +85,14 @@
 
 
 @pytest.mark.parametrize('regions', [3, 9])
-def test_parts_that_are_cut_off_count_the_whole_fleet(regions: int) -> None:
-    """Each part goes on spending its part of the fleet's bounds only."""
+def test_partitions_count_the_whole_fleet(regions: int) -> None:
+    """Each partition continues to use only its share of the fleet's limits."""
 
     async def test() -> None:
         wire = Wire()
         peers = [p for zone in 'abcdefghi' for p in zone_hosts(zone, 22)]
         wire.start(peers, [peers[0].address])
-        wire.beat(SETTLED_BEATS)
+        wire.beat(SETTLING_BEATS)
         wire.passes = lambda sender, receiver: (
             ord(sender[0]) % regions == ord(receiver[0]) % regions
         )
@@ -103,12 +103,12 @@
     asyncio.run(test())
 
 
-def test_a_host_that_hears_nobody_any_more_counts_the_whole_fleet() -> None:
+def test_an_isolated_host_counts_the_whole_fleet() -> None:
     async def test() -> None:
         wire = Wire()
         peers = [p for zone in 'abc' for p in zone_hosts(zone, 12)]
         wire.start(peers, [peers[0].address])
-        wire.beat(SETTLED_BEATS)
+        wire.beat(SETTLING_BEATS)
         wire.passes = lambda _sender, _receiver: False
         wire.beat(60)
         for members, _radio in wire.hosts.values():
@@ -117,21 +117,21 @@
     asyncio.run(test())
 
 
-def test_no_host_that_lives_is_called_lost() -> None:
+def test_no_live_host_is_logged_as_lost() -> None:
     """Neither at the start nor when relays of other zones change."""
 
     async def test() -> None:
         wire = Wire()
         peers = [p for zone in 'abc' for p in zone_hosts(zone, 12)]
         wire.start(peers, [peers[-1].address])
-        wire.beat(SETTLED_BEATS)
+        wire.beat(SETTLING_BEATS)
         relay = next(
             name
             for name, (members, _) in wire.hosts.items()
             if members.is_relay and members.own.zone == 'b'
         )
         wire.hosts.pop(relay)
-        wire.beat(SETTLED_BEATS)
+        wire.beat(SETTLING_BEATS)
         lost = [line for line in lines if 'event=host-lost' in line]
         assert len(lost) == 11
         assert all(f'host={relay} ' in line for line in lost)
@@ -140,7 +140,7 @@
         asyncio.run(test())
 
 
-def test_a_newcomer_is_no_relay_beside_hosts_that_have_what_it_needs() -> None:
+def test_a_newcomer_is_no_relay_if_other_hosts_have_state() -> None:
     async def test() -> None:
         wire = Wire()
         peers = zone_hosts('a', 4)
@@ -150,7 +150,8 @@
             lambda: wire.now,
             is_settled=lambda: wire.now > 105,
         )
-        # Alone it has to look for itself; one that knows nothing is no help.
+        # Alone it has to read the store itself. A host without state does not
+        # change that.
         assert newcomer.is_relay
         newcomer.hear(beat_of(peers[0]))
         assert newcomer.is_relay
@@ -164,25 +165,25 @@
     asyncio.run(test())
 
 
-def test_a_newcomer_learns_its_zone_from_a_seed_elsewhere() -> None:
+def test_a_newcomer_learns_its_zone_from_a_seed_in_another() -> None:
     async def test() -> None:
         wire = Wire()
         peers = [p for zone in 'abc' for p in zone_hosts(zone, 30)]
         wire.start(peers[:-1], [peers[0].address])
-        wire.beat(SETTLED_BEATS)
+        wire.beat(SETTLING_BEATS)
         wire.start(peers[-1:], [peers[0].address])
         wire.beat(5)
-        assert_whole(wire, 3, 30)
+        assert_fleet_complete(wire, 3, 30)
 
     asyncio.run(test())
 
 
-def test_a_zone_that_lost_its_relays_hears_the_others_again() -> None:
+def test_a_zone_recovers_from_the_loss_of_its_relays() -> None:
     async def test() -> None:
         wire = Wire()
         peers = [p for zone in 'abc' for p in zone_hosts(zone, 12)]
         wire.start(peers, [peers[0].address])
-        wire.beat(SETTLED_BEATS)
+        wire.beat(SETTLING_BEATS)
         relays = {
             name
             for name, (members, _) in wire.hosts.items()
@@ -200,10 +201,8 @@
     asyncio.run(test())
 
 
-def test_halves_that_formed_apart_meet_when_one_knows_one_of_the_other() -> (
-    None
-):
-    """One name is enough; the registry in the store brings it."""
+def test_separate_fleets_merge_through_one_known_name() -> None:
+    """One name per zone is enough, as the registry in the store provides."""
 
     async def test() -> None:
         wire = Wire()
@@ -211,13 +210,13 @@
         halves = peers[::2], peers[1::2]
         for half in halves:
             wire.start(half, [half[0].address])
-        wire.beat(SETTLED_BEATS)
+        wire.beat(SETTLING_BEATS)
         assert len(wire.hosts['a-0'][0].live_in_zone()) == 12
         for zone in 'ab':
             members, _radio = wire.hosts[f'{zone}-0']
             members.learn([wire.hosts[f'{zone}-1'][0].own])
-        wire.beat(SETTLED_BEATS)
-        assert_whole(wire, 2, 24)
+        wire.beat(SETTLING_BEATS)
+        assert_fleet_complete(wire, 2, 24)
 
     asyncio.run(test())
 
@@ -229,33 +228,31 @@
         wire = Wire()
         peers = zone_hosts('a', 4)
         wire.start(peers, [peers[0].address])
-        wire.beat(SETTLED_BEATS)
-        # One host has names that no other has and cannot pass on.
+        wire.beat(SETTLING_BEATS)
+        # One host has names that no other host has and does not pass them on.
         members, radio = wire.hosts['a-0']
         members.learn(zone_hosts('a', 9))
         monkeypatch.setattr(radio, '_names_for', lambda _zone: ((), ()))
         wire.beat(int(UNHEARD_SECONDS) + 1)
         sent = wire.sent
         wire.beat(10)
-        # Heartbeats from each to the three others, and no questions.
+        # Each host sends heartbeats to the three others and nothing else.
         assert wire.sent - sent == 10 * 4 * 3
 
     asyncio.run(test())
 
 
-def test_the_name_of_a_dead_host_does_not_go_from_newcomer_to_newcomer() -> (
-    None
-):
-    """Hosts are replaced all the time; each would prolong the name's life."""
+def test_newcomers_do_not_pass_on_the_name_of_a_dead_host() -> None:
+    """Hosts are replaced continually; each could keep the name alive."""
 
     async def test() -> None:
         wire = Wire()
         peers = [p for zone in 'ab' for p in zone_hosts(zone, 40)]
         running = peers[:4] + peers[40:44]
         wire.start(running, [running[0].address])
-        wire.beat(SETTLED_BEATS)
+        wire.beat(SETTLING_BEATS)
         wire.hosts.pop('a-3')
-        # Relays of the other zone name it until they miss it.
+        # Relays of the other zone send its name until they miss it.
         wire.beat(int(FORGOTTEN_SECONDS + SILENT_SECONDS) + 1)
         for number in range(4, 24):
             known = next(iter(wire.hosts))
@@ -267,8 +264,8 @@
             for zone in 'ab':
                 oldest = next(n for n in wire.hosts if n.startswith(zone))
                 wire.hosts.pop(oldest)
-        wire.beat(SETTLED_BEATS)
-        # Those that run are known: the dead are not named, the living are.
-        assert_alive(wire, 3, 4)
+        wire.beat(SETTLING_BEATS)
+        # Running hosts are known.
+        assert_zone_sizes(wire, 3, 4)
 
     asyncio.run(test())
