--- a/src/wardstair/gateway/exit_detection.py
+++ b/src/wardstair/gateway/exit_detection.py
@@ -45,8 +45,8 @@
         requests: Requests whose exchange broke before the upstream was probed.
         later: Requests whose exchange broke since then.
         is_likely: Whether the upstream has refused a connection since. A broken
-            exchange alone is not counted: where answers were lost, this
-            withheld 40 resends a day that would have been answered.
+            exchange alone is not counted: when it was, and answers were lost,
+            40 resends a day were withheld that would have been answered.
         is_proved: Whether the exit is proved.
     """
 
@@ -57,7 +57,7 @@
     is_proved: bool = False
 
     def counts_against(self, request: str) -> bool:
-        """Return whether a likely exit that is not proved counts."""
+        """Return whether a likely, unproved exit counts against a request."""
         if self.is_proved or not self.is_likely:
             return False
         return request in self.requests or request in self.later
@@ -95,7 +95,7 @@
         """
         self.suspects = suspects
         self._newest = newest
-        self._lapse_seconds = expiry_seconds
+        self._expiry_seconds = expiry_seconds
         self._in_service = in_service
         self._probe = probe_address
         self._checks: dict[str, _ExitCheck] = {}
@@ -129,10 +129,10 @@
 
     def count(self, request: str) -> int:
         """Return how many exits, proved or likely, count against a request."""
-        open_checks = sum(
+        likely_exits = sum(
             check.counts_against(request) for check in self._checks.values()
         )
-        return open_checks + self.suspects.count(request)
+        return likely_exits + self.suspects.count(request)
 
     def is_suspect(self, request: str) -> bool:
         """Return whether a request may be sent only once, without a hedge."""
@@ -163,7 +163,10 @@
             self._checks.pop(check.upstream.life, None)
 
     async def _detect_exit(self, check: _ExitCheck) -> bool:
-        """Probe until the exit is proved or no later exchange has broken."""
+        """Return whether the upstream has exited.
+
+        Probes again as long as further exchanges break.
+        """
         while check.requests:
             outcome = await self._probe_upstream(check)
             is_listening = outcome is ProbeOutcome.listening
@@ -191,7 +194,7 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + LISTENING_TIMEOUT_SECONDS
         if outcome is ProbeOutcome.unknown:
-            end = loop.time() + self._lapse_seconds()
+            end = loop.time() + self._expiry_seconds()
         while loop.time() < end and not check.later:
             if self._is_exit_confirmed(check.upstream, outcome):
                 return True
@@ -211,7 +214,7 @@
         return outcome
 
     async def _reaches_comparison_group(self, refused: UpstreamEntry) -> bool:
-        """Return whether upstreams comparable to one that refuses answer."""
+        """Return whether each comparison group of an upstream is reachable."""
         others = {
             entry.name: entry
             for entry in self._in_service()
@@ -221,14 +224,14 @@
             _location_of(refused),
             [_location_of(entry) for entry in others.values()],
         )
-        probed_names = {name for group in groups for name in group}
-        asked = [others[name] for name in probed_names]
+        group_members = {name for group in groups for name in group}
+        probed_entries = [others[name] for name in group_members]
         outcomes = await asyncio.gather(
-            *(self._probe(entry.host, entry.port) for entry in asked),
+            *(self._probe(entry.host, entry.port) for entry in probed_entries),
         )
         reached = {
             entry.name
-            for entry, outcome in zip(asked, outcomes, strict=True)
+            for entry, outcome in zip(probed_entries, outcomes, strict=True)
             if outcome is ProbeOutcome.listening
         }
         is_path_working = all(reached.intersection(group) for group in groups)
@@ -236,7 +239,7 @@
             log_event(
                 'end-not-proved',
                 upstream=refused.name,
-                asked=','.join(sorted(probed_names)),
+                asked=','.join(sorted(group_members)),
                 reached=','.join(sorted(reached)),
             )
         return is_path_working
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -119,7 +119,7 @@
             str(settings.callers),
             settings.cores,
         )
-        self._busyness = Busyness()
+        self._processor_pressure = Busyness()
         self._random = random
         self.local_state = Belief(clock, Catalog(clock))
         self.local_state.on_steering = self._on_steering
@@ -183,7 +183,7 @@
             settings.zone,
             lambda: self.live_settings.current.timing,
         )
-        self.radio.on_beat = self._on_beat
+        self.radio.on_beat = self._on_heartbeat
         self.radio.on_state = self.exchange.take_datagram
         self._updates = UpdateSender(
             self.radio,
@@ -210,7 +210,7 @@
         )
         distances = Distances(self.live_settings)
         self.pool = UpstreamPool(self._max_connections)
-        self.handover = Handover(
+        self.peer_forwarder = Handover(
             self.members,
             self.live_settings,
             settings.fleet_ports[0],
@@ -224,7 +224,7 @@
         self.local_state.reach.times = lambda: reach_times(
             self.live_settings.current.bounds.contact_seconds,
         )
-        self.local_state.reach.on_change = self._on_reach
+        self.local_state.reach.on_change = self._on_reachability_changed
         self.local_state.reach.on_regained = self._on_regained
         self.chooser = Chooser(self.live_settings, self.local_state, distances)
         reporter = Reporter(self.metrics)
@@ -247,7 +247,7 @@
             LIMIT_ANNOUNCE_INTERVAL_SECONDS,
         )
         self._reachability_announcer = ChangeAnnouncer(self.radio.send_beats)
-        self.local_state.limits.on_change = self._on_limits
+        self.local_state.limits.on_change = self._on_limits_changed
         self._incarnations = IncarnationEvents(
             self.local_state,
             self.pool,
@@ -292,7 +292,7 @@
             self.chooser,
             WaysOut(
                 Sender(self.pool, distances, self.local_state),
-                self.handover,
+                self.peer_forwarder,
             ),
             self.live_settings,
             reporter,
@@ -358,11 +358,11 @@
         )
         seeds = tuple(seed.rpartition(':')[0] for seed in settings.seeds)
         spawn = self._supervisor.spawn
-        spawn('configuration', self._follow(self.sync.configuration))
-        spawn('evacuations', self._follow(self.sync.evacuations))
-        spawn('upstreams', self._follow_upstreams)
+        spawn('configuration', self._run_when_ready(self.sync.configuration))
+        spawn('evacuations', self._run_when_ready(self.sync.evacuations))
+        spawn('upstreams', self._watch_upstreams)
         sharing = self.suspect_sharing
-        spawn('suspects', self._follow(sharing.follower))
+        spawn('suspects', self._run_when_ready(sharing.follower))
         spawn('suspect-sharing', sharing.run)
         spawn('contact', self.sync.prove_contact)
         spawn('registration', self.registration.run)
@@ -426,7 +426,7 @@
         self.radio.stop()
         self.demand_radio.stop()
         self.pool.close()
-        self.handover.close()
+        self.peer_forwarder.close()
         self.exchange.close()
         self.refresher.close()
         self.sync.close()
@@ -473,10 +473,10 @@
             due = self._clock() + SWEEP_SECONDS
             await asyncio.sleep(SWEEP_SECONDS)
             now = self._clock()
-            self.members.is_busy = self._busyness.note(now - due, now)
+            self.members.is_busy = self._processor_pressure.note(now - due, now)
             catalog = self.local_state.catalog
             catalog.expire_missing()
-            self.pool.sweep(self._is_wanted)
+            self.pool.sweep(self._keeps_connections)
             self.chooser.cold_sends.forget(set(catalog.upstreams))
             self.chooser.limited_sends.forget(catalog.upstreams)
             self.loads.step()
@@ -490,12 +490,12 @@
 
     def _refresh_times(self) -> RefreshTimes:
         settings = self.live_settings.current
-        again = self.store.slack.after(
+        retry_seconds = self.store.slack.after(
             settings.timing.far_hedge,
             settings.update_bound_seconds,
         )
         return refresh_times(
-            settings.update_bound_seconds, settings.name, again
+            settings.update_bound_seconds, settings.name, retry_seconds
         )
 
     def _assumed_hosts(self) -> int:
@@ -518,25 +518,27 @@
         is_expired = self._freshness.age > bounds.revoke_seconds
         return Freshness(self._is_store_reachable(), is_expired)
 
-    def _follow(self, follower: Follower) -> Callable[[], Awaitable[None]]:
-        async def follow() -> None:
+    def _run_when_ready(
+        self, follower: Follower
+    ) -> Callable[[], Awaitable[None]]:
+        async def run_when_ready() -> None:
             if self.settings.is_first_start:
                 await asyncio.sleep(FIRST_START_DELAY_SECONDS)
             await self.radio.is_greeted.wait()
             await follower.run()
 
-        return follow
+        return run_when_ready
 
-    async def _follow_upstreams(self) -> None:
+    async def _watch_upstreams(self) -> None:
         await self.radio.is_greeted.wait()
         await self.registration.check_for_restore()
-        await self._follow(self.sync.upstreams)()
+        await self._run_when_ready(self.sync.upstreams)()
 
-    def _on_beat(self, beat: Beat) -> None:
+    def _on_heartbeat(self, beat: Beat) -> None:
         self.loads.take_in(beat)
         self.exchange.on_beat(beat)
 
-    def _on_limits(self) -> None:
+    def _on_limits_changed(self) -> None:
         """Announce a changed limit and compute this host's share of it."""
         self._limit_announcer.schedule()
         if not self.chooser.load_view.is_settled:
@@ -555,7 +557,7 @@
         self.loads.note_request()
         return await self.forwarder.serve_relayed(relayed)
 
-    def _on_reach(self) -> None:
+    def _on_reachability_changed(self) -> None:
         """Announce which upstream groups this host cannot reach."""
         reach = self.local_state.reach
         self.members.lost = reach.lost
@@ -578,7 +580,7 @@
         if self.is_sentinel:
             self.radio.send_beats()
 
-    def _is_wanted(self, name: str) -> bool:
+    def _keeps_connections(self, name: str) -> bool:
         upstream = self.local_state.catalog.upstreams.get(name)
         if upstream is None or not upstream.takes_work:
             return False
--- a/src/wardstair/gateway/limited_sends.py
+++ b/src/wardstair/gateway/limited_sends.py
@@ -16,9 +16,9 @@
 from wardstair.state.limits import LimitTable
 from wardstair.state.upstream import Upstream
 
-# Limits that the fleet must keep to, fixed by the user requirements rather than
-# by settings: in any four seconds an upstream may get half more than its
-# reported rate, and five requests.
+# Limits that the fleet must keep to. They are fixed by the user requirements
+# rather than by settings: in any four seconds an upstream may get 1.5 times its
+# reported rate plus five requests.
 LIMIT_OVERSHOOT = 1.5
 LIMIT_SLACK = 5.0
 LIMIT_WINDOW = 4.0
