--- a/src/wardstair/gateway/quotas.py
+++ b/src/wardstair/gateway/quotas.py
@@ -120,7 +120,7 @@
         )
 
     def give_back(self, organisation: Organisation | None) -> None:
-        """Return the quota used by an admitted request that did not run."""
+        """Release the quota of an admitted request that did not run."""
         if organisation is None or organisation.quota is None:
             return
         usage = self._usage_of(organisation.name)
