--- a/src/wardstair/gateway/choosing.py
+++ b/src/wardstair/gateway/choosing.py
@@ -30,7 +30,7 @@
 from wardstair.gateway.cold_sends import ColdSends
 from wardstair.gateway.distances import Distances
 from wardstair.gateway.key_ranking import KeyRanking, RankingQuery, TransferSize
-from wardstair.gateway.limited_sends import MOST_WAIT_SECONDS, LimitedSends
+from wardstair.gateway.limited_sends import MAX_WAIT_SECONDS, LimitedSends
 from wardstair.gateway.settings import LiveSettings
 from wardstair.gateway.splitting import TrafficSplitter
 from wardstair.process.log import log_event
@@ -173,7 +173,7 @@
         Without a rate for cold upstreams in its service, a cold upstream gets
         no requests at all, so there this would only take it out of service.
         """
-        if not self.cold_sends.is_bounded(upstream.entry.service):
+        if not self.cold_sends.has_cold_rate(upstream.entry.service):
             return
         if not upstream.is_cold(now):
             self.assumed_cold[reason] += 1
@@ -238,7 +238,7 @@
             return ranked
         if not query.tried:
             limited.note_first_choice(ranked[0])
-        return [one for one in ranked if limited.are_due(one, now)]
+        return [one for one in ranked if limited.may_send(one, now)]
 
     def _candidate_groups(
         self,
@@ -254,7 +254,7 @@
             upstream
             for upstream in self._within_limits(self.ranked(query), query, now)
             if not upstream.is_cold(now)
-            or self.cold_sends.are_due(upstream, now)
+            or self.cold_sends.may_send(upstream, now)
         ]
         ranked = self._reachable(ranked)
         usable = [one for one in ranked if not self._is_avoided(one, now)]
@@ -327,7 +327,7 @@
         left = shortest_pause(map(notices.notice_of, ranked), time.monotonic())
         if left is None:
             return None
-        return min(retry_after_seconds(left), MOST_WAIT_SECONDS)
+        return min(retry_after_seconds(left), MAX_WAIT_SECONDS)
 
     def _ranking_query(self, query: UpstreamQuery) -> RankingQuery:
         name = query.route.name
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -27,8 +27,9 @@
 from wardstair.gateway import refusals
 from wardstair.gateway.admission import Admission
 from wardstair.gateway.choosing import Chooser, Placement, UpstreamQuery
-from wardstair.gateway.learning import Learner, is_failure
+from wardstair.gateway.exit_detection import ExitDetector
 from wardstair.gateway.messages import Inbound, Reply
+from wardstair.gateway.outcomes import OutcomeRecorder, is_failure
 from wardstair.gateway.peer_forwarding import HopEnd, HopOutcome, PeerForwarder
 from wardstair.gateway.peer_messages import (
     inbound_of,
@@ -49,7 +50,6 @@
     Withheld,
 )
 from wardstair.gateway.settings import LiveSettings
-from wardstair.gateway.witness import Witness
 from wardstair.state.local_state import LocalState
 from wardstair.state.upstream import Upstream
 from wardstair.version.organisations import Organisation
@@ -97,7 +97,7 @@
         transports: Transports,
         settings: LiveSettings,
         reporter: Reporter,
-        exit_detector: Witness,
+        exit_detector: ExitDetector,
         admission: Admission,
     ) -> None:
         """Create a forwarder.
@@ -119,7 +119,7 @@
         self._admission = admission
         self._local_state = local_state
         self._chooser = chooser
-        self._recorder = Learner(
+        self._recorder = OutcomeRecorder(
             local_state.catalog,
             chooser,
             settings,
@@ -331,7 +331,7 @@
         ended = [one for one in progress.running if one in done]
         for task in ended:
             placement = progress.running.pop(task)
-            outcome = self._recorder.learn(
+            outcome = self._recorder.record(
                 progress.attempt_of(placement), task.result()
             )
             match outcome:
@@ -385,7 +385,7 @@
         """End a request whose deadline passes while sends are running."""
         now = time.monotonic()
         for placement in progress.running.values():
-            self._recorder.note_silence(progress.attempt_of(placement), now)
+            self._recorder.note_overdue(progress.attempt_of(placement), now)
         if progress.failure is not None:
             return self._deliver(progress, *progress.failure)
         # The running sends may be executed, so the reply must not say
@@ -666,7 +666,7 @@
         progress.is_ended = True
         now = time.monotonic()
         for slower in progress.running.values():
-            self._recorder.note_silence(progress.attempt_of(slower), now)
+            self._recorder.note_overdue(progress.attempt_of(slower), now)
         bodies = len(progress.inbound.body) + len(delivered.answer.body)
         self._chooser.work_of(progress.route).note_size(bodies)
         self._reporter.answered(progress.history, placement, delivered)
--- a/src/wardstair/gateway/gauges.py
+++ b/src/wardstair/gateway/gauges.py
@@ -1,6 +1,6 @@
-"""Gauges of a gateway: what it believes, how old that is, what it is doing.
+"""Registers the metrics of a gateway: state, age of the state and activity.
 
-They are read when metrics are scraped and cost nothing between.
+Values are computed only when metrics are scraped.
 """
 
 import time
@@ -19,11 +19,11 @@
 
 
 def add_line_counts(metrics: Metrics, sink: LineSink) -> None:
-    """Add what is known of log lines that the reader was too slow for.
+    """Add the counts of log lines that are dropped or waiting.
 
     Args:
         metrics: The metrics of the process.
-        sink: Where its log lines go.
+        sink: The output for its log lines.
     """
     metrics.add_count(
         'wardstair_log_lines_dropped',
@@ -38,7 +38,7 @@
 
 
 def add_gauges(host: 'GatewayHost') -> None:
-    """Add the gauges of a gateway to its metrics."""
+    """Add the gauges and counters of a gateway to its metrics."""
     metrics = host.metrics
     local_state = host.local_state
     metrics.add_gauge(
@@ -74,7 +74,7 @@
     metrics.add_gauge(
         'wardstair_settings_missing',
         'What stands in for a setting that the file does not give',
-        lambda: _gaps(host),
+        lambda: _missing_settings(host),
     )
     metrics.add_gauge(
         'wardstair_sentinel',
@@ -167,7 +167,7 @@
     metrics.add_count(
         'wardstair_watches_renewed',
         'Waiting watches of the store that were given up, by kind and reason',
-        lambda: _renewals(host),
+        lambda: _watch_renewals(host),
     )
     metrics.add_gauge(
         'wardstair_upstream_groups_lost',
@@ -192,7 +192,7 @@
     metrics.add_count(
         'wardstair_reach_probes',
         'Upstreams asked whether they are within reach',
-        lambda: [(float(host.reach_keeper.probes), {})],
+        lambda: [(float(host.reachability_monitor.probes), {})],
     )
     metrics.add_count(
         'wardstair_relayed_requests',
@@ -232,7 +232,7 @@
     ]
 
 
-def _renewals(host: 'GatewayHost') -> list[Row]:
+def _watch_renewals(host: 'GatewayHost') -> list[Row]:
     return [
         (float(count), {'kind': watcher.kind, 'reason': reason.value})
         for watcher in host.sync.watchers
@@ -269,7 +269,7 @@
     ]
 
 
-def _gaps(host: 'GatewayHost') -> list[Row]:
+def _missing_settings(host: 'GatewayHost') -> list[Row]:
     gaps = host.live_settings.current.gaps
     return [(gap.used, {'setting': gap.name}) for gap in gaps]
 
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -1,4 +1,4 @@
-"""The gateway process: its parts, their tasks, start and stop."""
+"""Assembles, starts and stops the components of a gateway process."""
 
 import asyncio
 import time
@@ -21,6 +21,7 @@
 from wardstair.fleet.radio import Radio
 from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
 from wardstair.gateway.admission import Admission
+from wardstair.gateway.announcing import ChangeAnnouncer
 from wardstair.gateway.authorising import Authoriser
 from wardstair.gateway.bodies import body_capacity
 from wardstair.gateway.callers import CallerListener
@@ -33,17 +34,17 @@
     ready_application,
     state_application,
 )
+from wardstair.gateway.exit_detection import ExitDetector
 from wardstair.gateway.fleet_views import FleetViews
 from wardstair.gateway.forwarding import Forwarder, Transports
 from wardstair.gateway.gauges import add_gauges
+from wardstair.gateway.incarnations import IncarnationEvents
 from wardstair.gateway.listeners import Listeners
-from wardstair.gateway.lives import LifeEnds
 from wardstair.gateway.messages import Inbound, Reply
-from wardstair.gateway.news import NewsSender
 from wardstair.gateway.peer_forwarding import PeerForwarder
 from wardstair.gateway.peer_server import PeerRequestServer
 from wardstair.gateway.quotas import Quotas
-from wardstair.gateway.reaching import ReachKeeper
+from wardstair.gateway.reachability import ReachabilityMonitor
 from wardstair.gateway.reporting import Reporter
 from wardstair.gateway.sending import Sender
 from wardstair.gateway.settings import (
@@ -51,8 +52,7 @@
     Listener,
     LiveSettings,
 )
-from wardstair.gateway.telling import NewsTeller
-from wardstair.gateway.witness import Witness
+from wardstair.gateway.updates import UpdateSender
 from wardstair.platform.store import Store
 from wardstair.process.log import log_event, log_warning
 from wardstair.process.metrics import Metrics
@@ -69,28 +69,31 @@
 from wardstair.state.sync import StoreSync
 from wardstair.state.watching import KindWatcher
 
-# How often what is past is swept out: connections, missing upstreams.
+# Interval at which idle connections and expired records are removed.
 SWEEP_SECONDS = 0.5
-# When the whole fleet starts for the first time, no caller waits yet: only the
-# hosts that are relays then need to read the store. A host that starts into
-# traffic waits until another has answered, 0.3 s at most: from then on it knows
-# whether it is a relay, and gets from others what they have.
-FIRST_LISTING_SECONDS = 1.2
-# Part of an upstream's connections that the fleet uses.
-CONNECTION_SHARE = 0.8
-LEAST_CONNECTIONS = 4
-# Left of the grace period when the process ends by itself.
-GRACE_LEFT_SECONDS = 0.5
-# An upstream that names another limit in each answer would have ten heartbeats
-# sent a second to everybody; those of each second tell of it as well.
-LIMIT_NEWS_SECONDS = 1.0
-# What closing the sockets may take of that.
-CLOSE_SECONDS = 0.1
-# Offset of the port for reports of demand from the first port of the fleet.
+# On the first start of the whole fleet no callers are waiting, so hosts delay
+# reading the store until the relays are known; only relays need to read it. A
+# host that joins a running fleet waits only for the first answer of another
+# host, 0.3 s at most. By then it knows whether it is a relay, and it receives
+# state from the others.
+FIRST_START_DELAY_SECONDS = 1.2
+# Fraction of an upstream's connection limit that the fleet uses.
+CONNECTION_FRACTION = 0.8
+MIN_CONNECTIONS = 4
+# The process exits this long before the grace period ends.
+GRACE_MARGIN_SECONDS = 0.5
+# Minimum interval between extra heartbeats for changed limits. An upstream that
+# reports a different limit in each answer would otherwise cause ten heartbeats
+# a second to every host. The regular heartbeats, one a second, carry the limits
+# as well.
+LIMIT_ANNOUNCE_INTERVAL_SECONDS = 1.0
+# Part of that margin that closing the sockets may take.
+CLOSE_TIMEOUT_SECONDS = 0.1
+# Offset of the port for demand reports from the first fleet port.
 DEMAND_PORT_OFFSET = 1
-# A stopping host takes new callers for this long: most keep look-ups for two
-# seconds, and connect on them meanwhile. Those that keep them for longer are
-# refused the connection and go to another address.
+# A stopping host accepts new connections for this long. Most callers cache
+# look-ups for two seconds and still connect to this host meanwhile. Callers
+# that cache them longer are refused the connection and try another address.
 LINGER_SECONDS = 2.5
 
 
@@ -98,7 +101,7 @@
     """One gateway process."""
 
     def __init__(self, settings: GatewaySettings, random: Random) -> None:
-        """Assemble the parts without opening a socket.
+        """Assemble the components without opening a socket.
 
         Args:
             settings: Settings of this host.
@@ -116,12 +119,12 @@
             str(settings.callers),
             settings.cores,
         )
-        self._busyness = ProcessorPressure()
+        self._processor_pressure = ProcessorPressure()
         self._random = random
         self.local_state = LocalState(clock, Catalog(clock))
         self.local_state.on_steering = self._on_steering
         self.local_state.restoration.period = lambda: (
-            self.live_settings.current.heartbeat.lapse_seconds
+            self.live_settings.current.heartbeat.expiry_seconds
         )
         self.local_state.notices.drain_seconds = lambda: (
             self.live_settings.current.bounds.drain_seconds
@@ -130,7 +133,7 @@
         self.contact = StoreContact(clock, random)
         self.store.on_era = self.contact.note_era
         self.contact.tolerated_outage_seconds = lambda: (
-            self.live_settings.current.heartbeat.harmless_seconds
+            self.live_settings.current.heartbeat.tolerated_outage_seconds
         )
         self.members = Members(
             own,
@@ -156,7 +159,7 @@
         self.radio.sentinel_seconds = lambda: (
             self.live_settings.current.timing.sentinel_heartbeat
         )
-        self.contact.on_suspect = self._on_doubt
+        self.contact.on_suspect = self._on_contact_suspicion
         roles = Roles(
             lambda: self.members.is_relay,
             lambda: self.is_sentinel,
@@ -180,16 +183,16 @@
             settings.zone,
             lambda: self.live_settings.current.timing,
         )
-        self.radio.on_beat = self._on_beat
+        self.radio.on_beat = self._on_heartbeat
         self.radio.on_state = self.exchange.receive_datagram
-        self._news = NewsSender(
+        self._updates = UpdateSender(
             self.radio,
             self.exchange,
             roles,
             lambda: self.live_settings.current.timing,
         )
-        self.exchange.on_update = self._news.tell
-        self.sync.on_update = self._news.tell
+        self.exchange.on_update = self._updates.send_update
+        self.sync.on_update = self._updates.send_update
         self.refresher = StateRefresher(
             self.sync,
             self.local_state,
@@ -206,14 +209,14 @@
             is_first_start=settings.is_first_start,
         )
         distances = Distances(self.live_settings)
-        self.pool = UpstreamPool(self._most_connections)
-        self.handover = PeerForwarder(
+        self.pool = UpstreamPool(self._max_connections)
+        self.peer_forwarder = PeerForwarder(
             self.members,
             self.live_settings,
             settings.fleet_ports[0],
             random,
         )
-        self.reach_keeper = ReachKeeper(
+        self.reachability_monitor = ReachabilityMonitor(
             self.local_state,
             self.pool,
             random,
@@ -221,7 +224,7 @@
         self.local_state.reachability.times = lambda: probe_times(
             self.live_settings.current.bounds.contact_seconds,
         )
-        self.local_state.reachability.on_change = self._on_reach
+        self.local_state.reachability.on_change = self._on_reachability_changed
         self.local_state.reachability.on_regained = self._on_regained
         self.chooser = Chooser(self.live_settings, self.local_state, distances)
         reporter = Reporter(self.metrics)
@@ -238,24 +241,24 @@
             lambda: not self.chooser.limited_sends.is_idle,
         )
         self.radio.zone_loads = self.loads.told
-        self._suspect_teller = NewsTeller(self.radio.send_beats)
-        self._limit_teller = NewsTeller(
+        self._suspect_announcer = ChangeAnnouncer(self.radio.send_beats)
+        self._limit_announcer = ChangeAnnouncer(
             self.radio.send_beats,
-            LIMIT_NEWS_SECONDS,
+            LIMIT_ANNOUNCE_INTERVAL_SECONDS,
         )
-        self._reach_teller = NewsTeller(self.radio.send_beats)
-        self.local_state.limits.on_change = self._on_limits
-        self._life_ends = LifeEnds(
+        self._reachability_announcer = ChangeAnnouncer(self.radio.send_beats)
+        self.local_state.limits.on_change = self._on_limits_changed
+        self._incarnations = IncarnationEvents(
             self.local_state,
             self.pool,
             self.chooser,
-            self._suspect_teller,
+            self._suspect_announcer,
             self.suspect_sharing.changed,
         )
-        self.witness = Witness(
+        self.exit_detector = ExitDetector(
             self.local_state.suspects,
-            self._life_ends.newest,
-            lambda: self.live_settings.current.heartbeat.lapse_seconds,
+            self._incarnations.newest,
+            lambda: self.live_settings.current.heartbeat.expiry_seconds,
             lambda: self.local_state.catalog.in_service,
         )
         self.quotas = Quotas(
@@ -281,17 +284,19 @@
         )
         self.demand_radio.far_addresses = lambda: self.radio.far_addresses
         self.demand_radio.on_reported = self.quotas.note_reported
-        self._freshness = ConfigurationFreshness(clock, self._hears_store)
+        self._freshness = ConfigurationFreshness(
+            clock, self._is_store_reachable
+        )
         self.forwarder = Forwarder(
             self.local_state,
             self.chooser,
             Transports(
                 Sender(self.pool, distances, self.local_state),
-                self.handover,
+                self.peer_forwarder,
             ),
             self.live_settings,
             reporter,
-            self.witness,
+            self.exit_detector,
             Admission(
                 self.local_state,
                 Authoriser(self.local_state, self._configuration_freshness),
@@ -299,7 +304,7 @@
                 reporter,
             ),
         )
-        self.reach_keeper.on_doubt = self.forwarder.forward_waiting
+        self.reachability_monitor.on_suspect = self.forwarder.forward_waiting
         self.directory = Directory(self.live_settings, own, self.members)
         self.callers = CallerListener(
             self._serve_caller,
@@ -319,12 +324,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether callers should connect to this host."""
         return self.local_state.steering is not None and not self._is_stopping
 
     @property
     def is_sentinel(self) -> bool:
-        """Whether this host watches the store closely for the others."""
+        """Whether this host is a sentinel, which watches the store closely."""
         return self._sentinel_rank is not None
 
     @property
@@ -355,11 +360,11 @@
         )
         seeds = tuple(seed.rpartition(':')[0] for seed in settings.seeds)
         spawn = self._supervisor.spawn
-        spawn('configuration', self._follow(self.sync.configuration))
-        spawn('evacuations', self._follow(self.sync.evacuations))
-        spawn('upstreams', self._follow_upstreams)
+        spawn('configuration', self._run_when_ready(self.sync.configuration))
+        spawn('evacuations', self._run_when_ready(self.sync.evacuations))
+        spawn('upstreams', self._watch_upstreams)
         sharing = self.suspect_sharing
-        spawn('suspects', self._follow(sharing.watcher))
+        spawn('suspects', self._run_when_ready(sharing.watcher))
         spawn('suspect-sharing', sharing.run)
         spawn('contact', self.sync.probe_contact)
         spawn('registration', self.registration.run)
@@ -368,7 +373,7 @@
         spawn('demand', self.demand_radio.run)
         spawn('sweep', self._sweep)
         spawn('state-age', self.refresher.run)
-        spawn('reach', self.reach_keeper.run)
+        spawn('reach', self.reachability_monitor.run)
         log_event(
             'host-started',
             host=settings.name,
@@ -378,7 +383,10 @@
         )
 
     async def stop(self) -> None:
-        """Leave without cutting a request, within the grace period."""
+        """Drain and shut down within the grace period.
+
+        Requests in progress are completed unless the grace period ends first.
+        """
         if self._is_stopping:
             return
         self._is_stopping = True
@@ -392,42 +400,45 @@
         self._listeners.stop_callers()
         self.callers.close_idle()
         grace = self.live_settings.current.bounds.grace_seconds
-        end = began + grace - GRACE_LEFT_SECONDS
+        end = began + grace - GRACE_MARGIN_SECONDS
         self.relays.is_stopping = True
         await self.callers.wait_idle(end - self._clock())
         await self.relays.wait_idle(end - self._clock())
         log_event('host-stopped', cut=self.callers.open_count)
         try:
-            async with asyncio.timeout(CLOSE_SECONDS):
+            async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
                 await self.close()
         except TimeoutError:
-            # A caller that does not read keeps its connection from closing;
-            # the end of the process closes it.
-            log_warning('host-close-unfinished', seconds=CLOSE_SECONDS)
+            # A connection whose caller does not read cannot be closed
+            # gracefully. It closes when the process exits.
+            log_warning('host-close-unfinished', seconds=CLOSE_TIMEOUT_SECONDS)
 
     async def close(self) -> None:
-        """End the tasks and close all sockets at once."""
+        """Stop all tasks and close all sockets immediately."""
         if self._is_closed:
             return
         self._is_closed = True
         await self._supervisor.stop()
-        self.witness.close()
-        self._suspect_teller.close()
-        self._limit_teller.close()
-        self._reach_teller.close()
-        self._news.close()
+        self.exit_detector.close()
+        self._suspect_announcer.close()
+        self._limit_announcer.close()
+        self._reachability_announcer.close()
+        self._updates.close()
         await self._listeners.close()
         self.radio.stop()
         self.demand_radio.stop()
         self.pool.close()
-        self.handover.close()
+        self.peer_forwarder.close()
         self.exchange.close()
         self.refresher.close()
         self.sync.close()
         self.store.close()
 
     def adopt_settings(self, settings: GatewaySettings) -> list[str]:
-        """Take over changed settings; sockets stay as they are bound.
+        """Apply changed settings. Sockets keep their addresses and ports.
+
+        Args:
+            settings: The new settings.
 
         Returns:
             Names of the settings that have changed.
@@ -447,27 +458,27 @@
         self.quotas.forget(steering.organisations.by_name)
         self._listeners.limit_callers(steering.limits)
 
-    def _most_connections(self, name: str) -> int:
+    def _max_connections(self, name: str) -> int:
         steering = self.local_state.steering
         upstream = self.local_state.catalog.upstreams.get(name)
         if steering is None or upstream is None:
-            return LEAST_CONNECTIONS
+            return MIN_CONNECTIONS
         service = steering.services.get(upstream.entry.service)
         if service is None:
-            return LEAST_CONNECTIONS
+            return MIN_CONNECTIONS
         hosts = self.chooser.view.fleet_size
-        share = service.most_connections * CONNECTION_SHARE / hosts
-        return max(LEAST_CONNECTIONS, int(share))
+        share = service.most_connections * CONNECTION_FRACTION / hosts
+        return max(MIN_CONNECTIONS, int(share))
 
     async def _sweep(self) -> None:
         while True:
             due = self._clock() + SWEEP_SECONDS
             await asyncio.sleep(SWEEP_SECONDS)
             now = self._clock()
-            self.members.is_busy = self._busyness.note(now - due, now)
+            self.members.is_busy = self._processor_pressure.note(now - due, now)
             catalog = self.local_state.catalog
             catalog.expire_missing()
-            self.pool.sweep(self._is_wanted)
+            self.pool.sweep(self._keeps_connections)
             self.chooser.cold_sends.forget(set(catalog.upstreams))
             self.chooser.limited_sends.forget(catalog.upstreams)
             self.loads.step()
@@ -481,11 +492,13 @@
 
     def _refresh_times(self) -> RefreshTimes:
         settings = self.live_settings.current
-        again = self.store.slack.timeout(
+        retry_seconds = self.store.slack.timeout(
             settings.timing.far_hedge,
-            settings.news_seconds,
+            settings.update_bound_seconds,
+        )
+        return refresh_times(
+            settings.update_bound_seconds, settings.name, retry_seconds
         )
-        return refresh_times(settings.news_seconds, settings.name, again)
 
     def _assumed_hosts(self) -> int:
         """Return the number of hosts assumed before any report is received.
@@ -497,7 +510,7 @@
             return 0
         return ENOUGH_HOSTS * len(self.live_settings.current.zones)
 
-    def _hears_store(self) -> bool:
+    def _is_store_reachable(self) -> bool:
         if self.contact.is_held:
             return True
         return any(one.hears_store for one in self.members.live())
@@ -505,36 +518,40 @@
     def _configuration_freshness(self) -> Freshness:
         bounds = self.live_settings.current.organisation_bounds
         is_expired = self._freshness.age > bounds.revoke_seconds
-        return Freshness(self._hears_store(), is_expired)
+        return Freshness(self._is_store_reachable(), is_expired)
 
-    def _follow(self, watcher: KindWatcher) -> Callable[[], Awaitable[None]]:
-        async def follow() -> None:
+    def _run_when_ready(
+        self, watcher: KindWatcher
+    ) -> Callable[[], Awaitable[None]]:
+        async def run_when_ready() -> None:
             if self.settings.is_first_start:
-                await asyncio.sleep(FIRST_LISTING_SECONDS)
+                await asyncio.sleep(FIRST_START_DELAY_SECONDS)
             await self.radio.is_greeted.wait()
             await watcher.run()
 
-        return follow
+        return run_when_ready
 
-    async def _follow_upstreams(self) -> None:
+    async def _watch_upstreams(self) -> None:
         await self.radio.is_greeted.wait()
         await self.registration.check_for_restore()
-        await self._follow(self.sync.upstreams)()
+        await self._run_when_ready(self.sync.upstreams)()
 
-    def _on_beat(self, beat: Beat) -> None:
+    def _on_heartbeat(self, beat: Beat) -> None:
         self.loads.take_in(beat)
         self.exchange.on_heartbeat(beat)
 
-    def _on_limits(self) -> None:
-        """Have others know of a limit, and divide it."""
-        self._limit_teller.note()
+    def _on_limits_changed(self) -> None:
+        """Announce a changed limit and compute this host's share of it."""
+        self._limit_announcer.schedule()
         if not self.chooser.load_view.is_settled:
-            # The first one; later ones wait for the next sweep.
+            # The first limit takes effect at once, later ones at the next
+            # sweep.
             self.views.refresh_loads()
 
     async def _serve_caller(self, inbound: Inbound) -> Reply:
         if not self.local_state.reachability.is_cut_off:
-            # Otherwise it counts at the host that it is handed on to.
+            # A host that is cut off forwards the request to a peer, which
+            # counts it.
             self.loads.note_request()
         return await self.forwarder.serve(inbound)
 
@@ -544,27 +561,30 @@
         self.loads.note_request()
         return await self.forwarder.serve_peer_request(relayed)
 
-    def _on_reach(self) -> None:
-        """Have others know what this host does not reach."""
+    def _on_reachability_changed(self) -> None:
+        """Announce which upstream groups this host cannot reach."""
         reach = self.local_state.reachability
         self.members.lost = reach.lost
         if reach.is_cut_off:
-            # Open connections may have gone silent with the rest.
+            # Connections that are still open may be dead as well.
             self.pool.close()
-        self._reach_teller.note()
+        self._reachability_announcer.schedule()
 
     def _on_regained(self, groups: frozenset[str]) -> None:
-        """Drop what was learned of upstreams while the way to them was cut."""
+        """Discard failures recorded while the upstreams were unreachable."""
         for group in groups:
             for entry in self.local_state.reachability.members_of(group):
                 self.local_state.catalog.upstreams[entry.name].reset_failures()
 
-    def _on_doubt(self) -> None:
-        """Let others watch the store while this sentinel doubts its contact."""
+    def _on_contact_suspicion(self) -> None:
+        """Announce that a sentinel's contact became uncertain or certain.
+
+        While it is uncertain, other hosts watch the store in its place.
+        """
         if self.is_sentinel:
             self.radio.send_beats()
 
-    def _is_wanted(self, name: str) -> bool:
+    def _keeps_connections(self, name: str) -> bool:
         upstream = self.local_state.catalog.upstreams.get(name)
         if upstream is None or not upstream.takes_work:
             return False
--- a/src/wardstair/gateway/key_ranking.py
+++ b/src/wardstair/gateway/key_ranking.py
@@ -21,7 +21,7 @@
     rebalanced_weights,
 )
 from wardstair.decisions.region_moves import odds_factor
-from wardstair.gateway.moving import RegionMoves
+from wardstair.gateway.region_moves import RegionMoves
 from wardstair.gateway.settings import LiveSettings
 from wardstair.process.log import log_event
 from wardstair.state.local_state import LocalState
@@ -166,7 +166,7 @@
 
     @property
     def _is_any_moving(self) -> bool:
-        return self._region_moves.are_under_way(
+        return self._region_moves.are_in_progress(
             self._now, self._max_shift_share
         )
 
--- /dev/null
+++ b/src/wardstair/gateway/outcomes.py
@@ -0,0 +1,206 @@
+"""Updates the state of an upstream from the outcomes of requests sent to it."""
+
+import time
+from dataclasses import dataclass, replace
+
+from wardstair.connection.upstream import BreakReason
+from wardstair.decisions.answer_times import slowdown_ratio
+from wardstair.decisions.mechanisms import Mechanism
+from wardstair.decisions.placement import expected_seconds
+from wardstair.gateway.choosing import Chooser, ColdReason, Placement
+from wardstair.gateway.exit_detection import ExitDetector
+from wardstair.gateway.reporting import AttemptHistory
+from wardstair.gateway.sending import (
+    Delivered,
+    Lost,
+    NotSent,
+    Rejected,
+    SendOutcome,
+)
+from wardstair.gateway.settings import LiveSettings
+from wardstair.platform.headers import ToldLoad
+from wardstair.process.log import log_event
+from wardstair.state.catalog import Catalog
+from wardstair.state.reachability import ReachabilityTable
+from wardstair.version.steering import SteeredRoute
+
+# Statuses from 500 on are failures of the upstream, except 504, which means
+# that the request left it too little time.
+_SERVER_ERROR = 500
+_GATEWAY_TIMEOUT = 504
+# Load assumed for an upstream that rejected a request without reporting its
+# load, as a multiple of its slots: all slots in use and a queue.
+_FULL_LOAD_FACTOR = 3
+_MIN_WORK_SECONDS = 0.001
+# Reasons for which an exchange breaks when the upstream process exits.
+_PROCESS_EXIT_REASONS = frozenset((BreakReason.closed, BreakReason.reset))
+
+
+@dataclass(frozen=True, slots=True)
+class SendAttempt:
+    """One send of a request.
+
+    Attributes:
+        placement: The upstream and why it was chosen.
+        route: The request's route.
+        key: The affinity key of the request.
+        trail: The attempt history of the request.
+    """
+
+    placement: Placement
+    route: SteeredRoute
+    key: str
+    trail: AttemptHistory
+
+
+def is_failure(delivered: Delivered) -> bool:
+    """Return whether an answer is a failure of the upstream."""
+    status = delivered.answer.status
+    return status >= _SERVER_ERROR and status != _GATEWAY_TIMEOUT
+
+
+def _is_good(delivered: Delivered) -> bool:
+    return delivered.answer.status < _SERVER_ERROR
+
+
+class OutcomeRecorder:
+    """Records the outcomes of sends; one per process."""
+
+    def __init__(
+        self,
+        catalog: Catalog,
+        chooser: Chooser,
+        settings: LiveSettings,
+        exit_detector: ExitDetector,
+        reach: ReachabilityTable,
+    ) -> None:
+        """Create a recorder.
+
+        Args:
+            catalog: The upstreams.
+            chooser: Keeps the expected work of each route.
+            settings: Settings of this host.
+            exit_detector: Detects whether an upstream exited during a request.
+            reach: Records the upstreams that do not answer in time.
+        """
+        self._reach = reach
+        self._exit_detector = exit_detector
+        self._settings = settings
+        self._catalog = catalog
+        self._chooser = chooser
+
+    def record(self, attempt: SendAttempt, outcome: SendOutcome) -> SendOutcome:
+        """Update the upstream from an outcome and return the outcome.
+
+        Args:
+            attempt: The send.
+            outcome: Its outcome.
+        """
+        upstream = attempt.placement.upstream
+        now = time.monotonic()
+        self._note_evidence(attempt, outcome)
+        match outcome:
+            case Delivered(fields=fields, seconds=seconds):
+                if fields.load is not None:
+                    reported_load = fields.load.running + fields.load.waiting
+                    upstream.note_load(reported_load, now)
+                if is_failure(outcome):
+                    upstream.note_error(now)
+                else:
+                    self._record_time(attempt, seconds, now)
+            case Rejected(is_misdirected=True):
+                self._catalog.mark_gone(upstream.name)
+            case Rejected(load=ToldLoad() as load) if (
+                self._trusts_reported_load()
+            ):
+                # An upstream with free slots may reject requests as well. If
+                # it were treated as full, its warm keys would move away.
+                upstream.note_load(load.running + load.waiting, now)
+            case Rejected():
+                upstream.note_load(
+                    upstream.entry.slots * _FULL_LOAD_FACTOR, now
+                )
+            case NotSent(reason=reason, is_dead=is_dead):
+                self._avoid(attempt, reason, now)
+                if is_dead:
+                    self._chooser.assume_cold(
+                        upstream,
+                        ColdReason.refused,
+                        now,
+                    )
+            case Lost(is_forgotten=True):
+                # The connection was dropped. The next send opens a new one and
+                # shows whether the upstream works.
+                log_event(
+                    'connection-forgotten',
+                    request=attempt.trail.inbound.request_id,
+                    upstream=upstream.name,
+                )
+            case Lost(reason=broken):
+                self._avoid(attempt, broken, now)
+        return outcome
+
+    def _note_evidence(
+        self, attempt: SendAttempt, outcome: SendOutcome
+    ) -> None:
+        """Record evidence for or against the request, not the upstream."""
+        upstream = attempt.placement.upstream
+        inbound = attempt.trail.inbound
+        match outcome:
+            case Lost(reason=reason) if reason in _PROCESS_EXIT_REASONS:
+                self._exit_detector.note_broken(inbound.identity, upstream)
+            # A failed answer does not clear a request of suspicion: some
+            # upstreams fail a fraction of all requests.
+            case Delivered() if (
+                _is_good(outcome) and not self._exit_detector.is_idle
+            ):
+                suspects = self._exit_detector.suspects
+                suspects.note_answered(inbound.identity, upstream.incarnation)
+
+    def _trusts_reported_load(self) -> bool:
+        return self._settings.current.uses(Mechanism.reported_rejections)
+
+    def note_overdue(self, attempt: SendAttempt, now: float) -> None:
+        """Avoid an upstream whose answer is overdue.
+
+        Args:
+            attempt: A send without an outcome.
+            now: Monotonic time in seconds.
+        """
+        if attempt.placement.upstream.is_overdue(now):
+            self._avoid(attempt, 'silent', now)
+            self._reach.note_failed(attempt.placement.upstream.entry)
+
+    def _avoid(self, attempt: SendAttempt, reason: str, now: float) -> None:
+        upstream = attempt.placement.upstream
+        log_event(
+            'upstream-avoided',
+            request=attempt.trail.inbound.request_id,
+            upstream=upstream.name,
+            reason=reason,
+            seconds=upstream.note_failure(now),
+        )
+
+    def _record_time(
+        self, attempt: SendAttempt, seconds: float, now: float
+    ) -> None:
+        upstream = attempt.placement.upstream
+        was_warm = upstream.warm.has(attempt.key, now)
+        attempt.trail.was_warm = was_warm
+        upstream.warm.note(attempt.key, now)
+        candidate = attempt.placement.choice.candidate
+        work = self._chooser.work_of(attempt.route)
+        warm = replace(candidate, is_warm=True)
+        cold = replace(candidate, is_warm=False)
+        slowdown = slowdown_ratio(
+            seconds,
+            warm=expected_seconds(warm, work.seconds),
+            cold=expected_seconds(cold, work.seconds),
+            is_known_warm=was_warm or not attempt.route.is_sticky,
+        )
+        if slowdown is None:
+            upstream.note_answer()
+            return
+        if candidate.load < candidate.slots:
+            work.note(max(seconds - candidate.round_trip, _MIN_WORK_SECONDS))
+        upstream.note_success(candidate.slowness * slowdown, now)
--- a/src/wardstair/gateway/request_progress.py
+++ b/src/wardstair/gateway/request_progress.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from wardstair.gateway.choosing import Placement
-from wardstair.gateway.learning import SendCase
 from wardstair.gateway.messages import Inbound
+from wardstair.gateway.outcomes import SendAttempt
 from wardstair.gateway.peer_forwarding import HopOutcome
 from wardstair.gateway.reporting import AttemptHistory
 from wardstair.gateway.sending import Delivered, SendOutcome
@@ -101,6 +101,6 @@
             tasks.add(self.hop)
         return tasks
 
-    def attempt_of(self, placement: Placement) -> SendCase:
+    def attempt_of(self, placement: Placement) -> SendAttempt:
         """Return what is needed to record the outcome of one send."""
-        return SendCase(placement, self.route, self.key, self.history)
+        return SendAttempt(placement, self.route, self.key, self.history)
--- a/tests/functional/test_lapse_or_removal.py
+++ b/tests/functional/test_lapse_or_removal.py
@@ -124,7 +124,7 @@
                 lambda: all(host.contact.is_lost for host in fleet.hosts)
             )
             heartbeat = fleet.hosts[0].live_settings.current.heartbeat
-            await asyncio.sleep(heartbeat.harmless_seconds)
+            await asyncio.sleep(heartbeat.tolerated_outage_seconds)
             fleet.store.status = None
             await until(lambda: any(one.contact.is_held for one in fleet.hosts))
             fleet.store.delete('servers', 'i-2')
--- a/tests/functional/test_named_limits.py
+++ b/tests/functional/test_named_limits.py
@@ -27,7 +27,7 @@
 from lib.specs import upstream_spec
 from lib.upstream_standin import Seen, UpstreamStandin, whole_answer
 
-from wardstair.gateway.limited_sends import MOST_WAIT_SECONDS
+from wardstair.gateway.limited_sends import MAX_WAIT_SECONDS
 
 HOSTS = 6
 UPSTREAMS = 6
@@ -217,7 +217,7 @@
             assert refused
             assert all(b'limits-reached' in one.body for one in refused)
             waits = [float(one.headers['retry-after']) for one in refused]
-            assert all(0 < wait <= MOST_WAIT_SECONDS for wait in waits)
+            assert all(0 < wait <= MAX_WAIT_SECONDS for wait in waits)
             assert {one.status for one in load.answers} == {200, 503}
 
     run(test)
--- a/tests/unit/test_region_moves.py
+++ b/tests/unit/test_region_moves.py
@@ -19,7 +19,7 @@
 from wardstair.decisions.region_moves import WINDOW_SECONDS
 from wardstair.decisions.split import SplitTally
 from wardstair.gateway.key_ranking import KeyRanking, RankingQuery, TransferSize
-from wardstair.gateway.moving import RegionMoves
+from wardstair.gateway.region_moves import RegionMoves
 from wardstair.gateway.settings import Bounds, LiveSettings
 from wardstair.platform.objects import Metadata, StoredObject
 from wardstair.state.catalog import Catalog
@@ -225,6 +225,6 @@
     moves.follow(steering, share_of, 0, MAX_MOVED_SHARE)
     region.steer({'views': 0.1, 'orders': 0.9})
     moves.follow(region.local_state.steering, share_of, 0, MAX_MOVED_SHARE)
-    assert moves.are_under_way(1, MAX_MOVED_SHARE)
+    assert moves.are_in_progress(1, MAX_MOVED_SHARE)
     # The offset of the route is not queried from here on.
-    assert not moves.are_under_way(60, MAX_MOVED_SHARE)
+    assert not moves.are_in_progress(60, MAX_MOVED_SHARE)
