--- a/src/wardstair/state/exchange.py
+++ b/src/wardstair/state/exchange.py
@@ -283,28 +283,30 @@
         # Changes that start after this host's revision would leave a gap.
         return upstreams.since <= own.upstreams
 
-    def on_heartbeat(self, beat: Beat) -> None:
+    def on_heartbeat(self, heartbeat: Beat) -> None:
         """Record the age of a peer's state and fetch what this host lacks."""
-        if beat.state_age is not None and not self._is_behind(beat.versions):
-            is_near = beat.sender.zone == self._zone
+        if heartbeat.state_age is not None and not self._is_behind(
+            heartbeat.versions
+        ):
+            is_near = heartbeat.sender.zone == self._zone
             transit = way_seconds(is_near=is_near)
             reported = replace(
-                beat.state_age,
-                seconds=beat.state_age.seconds + transit,
+                heartbeat.state_age,
+                seconds=heartbeat.state_age.seconds + transit,
             )
             self._local_state.age.note_reported(reported)
-        self._classify(beat)
+        self._classify(heartbeat)
         self._start_fetching()
 
-    def _classify(self, beat: Beat) -> None:
+    def _classify(self, heartbeat: Beat) -> None:
         """Keep a heartbeat if its sender has state that this host lacks."""
-        name = beat.sender.name
+        name = heartbeat.sender.name
         self._ahead.pop(name, None)
         self._differing.pop(name, None)
-        if self._is_behind(beat.versions):
-            self._ahead[name] = beat
-        elif self._differs(beat):
-            self._differing[name] = beat
+        if self._is_behind(heartbeat.versions):
+            self._ahead[name] = heartbeat
+        elif self._differs(heartbeat):
+            self._differing[name] = heartbeat
 
     def _start_fetching(self) -> None:
         """Start fetching from hosts ahead or differing, unless in progress."""
@@ -313,16 +315,16 @@
         if self._differing and _is_over(self._compare_task):
             self._compare_task = asyncio.ensure_future(self._compare())
 
-    def _differs(self, beat: Beat) -> bool:
+    def _differs(self, heartbeat: Beat) -> bool:
         """Return whether a host may have table entries that this one lacks.
 
         Tables that are full or of different age may never become equal. A host
         is therefore not queried again while both digests are as they were
         after the last comparison.
         """
-        theirs = _digests_of(beat.versions)
+        theirs = _digests_of(heartbeat.versions)
         own = _digests_of(self._local_state.versions)
-        if self._compared.get(beat.sender.name) == (theirs, own):
+        if self._compared.get(heartbeat.sender.name) == (theirs, own):
             return False
         has_suspects = theirs.suspects not in {0, own.suspects}
         has_limits = theirs.limits not in {0, own.limits}
@@ -343,9 +345,9 @@
         The task ends when every such host is being queried. The next heartbeat
         or the end of a fetch starts it again.
         """
-        while beat := self._next_of(self._ahead, _MAX_FETCHES):
-            await asyncio.sleep(self._grace_seconds(beat))
-            if self._is_behind(beat.versions):
+        while heartbeat := self._next_of(self._ahead, _MAX_FETCHES):
+            await asyncio.sleep(self._grace_seconds(heartbeat))
+            if self._is_behind(heartbeat.versions):
                 await self._fetch_next(self._ahead, _MAX_FETCHES)
 
     async def _compare(self) -> None:
@@ -368,16 +370,16 @@
 
     async def _fetch_next(self, heard: dict[str, Beat], limit: int) -> bool:
         """Fetch from one host; return whether that ended in time."""
-        beat = self._next_of(heard, limit)
-        if beat is None:
+        heartbeat = self._next_of(heard, limit)
+        if heartbeat is None:
             return False
-        heard.pop(beat.sender.name)
-        return await self._fetch_hedged(beat)
+        heard.pop(heartbeat.sender.name)
+        return await self._fetch_hedged(heartbeat)
 
     def _reclassify(self) -> None:
         """Compare the kept heartbeats with the state as it is by now."""
-        for beat in (*self._differing.values(), *self._ahead.values()):
-            self._classify(beat)
+        for heartbeat in (*self._differing.values(), *self._ahead.values()):
+            self._classify(heartbeat)
 
     def _keep_last_differing(self) -> None:
         """Drop all but the last differing host.
@@ -388,12 +390,12 @@
         for name in tuple(self._differing)[:-1]:
             self._differing.pop(name)
 
-    def _grace_seconds(self, beat: Beat) -> float:
+    def _grace_seconds(self, heartbeat: Beat) -> float:
         """Return how long to wait for this host's own watch, in seconds."""
         now = asyncio.get_running_loop().time()
         if is_one_late(self._late_at.values(), now):
             return 0.0
-        return GRACE_SECONDS if self._has_watch_for(beat.versions) else 0.0
+        return GRACE_SECONDS if self._has_watch_for(heartbeat.versions) else 0.0
 
     def _pause_seconds(self) -> float:
         """Return the wait until the next comparison, in seconds."""
@@ -411,24 +413,24 @@
             return self._roles.is_relay()
         return self._roles.is_sentinel()
 
-    async def _fetch_hedged(self, beat: Beat) -> bool:
+    async def _fetch_hedged(self, heartbeat: Beat) -> bool:
         """Fetch from a host; return whether that ended before it was late.
 
         A late fetch continues in the background, so that its result is used
         or its failure counted.
         """
-        hedge = self._hedge_seconds(beat)
-        fetch = self._begin_fetch(beat, hedge)
+        hedge = self._hedge_seconds(heartbeat)
+        fetch = self._begin_fetch(heartbeat, hedge)
         await asyncio.wait([fetch], timeout=hedge)
         if not fetch.done():
             return False
         fetch.result()
         return True
 
-    def _begin_fetch(self, beat: Beat, hedge: float) -> asyncio.Task[None]:
-        name = beat.sender.name
+    def _begin_fetch(self, heartbeat: Beat, hedge: float) -> asyncio.Task[None]:
+        name = heartbeat.sender.name
         now = asyncio.get_running_loop().time()
-        fetch = asyncio.ensure_future(self._fetch_from(beat))
+        fetch = asyncio.ensure_future(self._fetch_from(heartbeat))
         self._fetches[name] = fetch
         self._late_at[name] = now + hedge
         fetch.add_done_callback(lambda _: self._end_fetch(name))
@@ -439,40 +441,43 @@
         self._late_at.pop(name)
         self._start_fetching()
 
-    def _hedge_seconds(self, beat: Beat) -> float:
-        is_near = beat.sender.zone == self._zone
+    def _hedge_seconds(self, heartbeat: Beat) -> float:
+        is_near = heartbeat.sender.zone == self._zone
         timing = self._timing()
         return timing.near_hedge if is_near else timing.far_hedge
 
-    async def _fetch_from(self, beat: Beat) -> None:
+    async def _fetch_from(self, heartbeat: Beat) -> None:
         """Fetch from a host and merge its answer."""
         asked_at = asyncio.get_running_loop().time()
-        fetched = await self._fetch(beat.sender.address)
+        fetched = await self._fetch(heartbeat.sender.address)
         if isinstance(fetched, Err):
             failed = fetched.err_value
             self.failures[failed.failure] += 1
             log_warning(
                 'state-not-fetched',
-                host=beat.sender.name,
+                host=heartbeat.sender.name,
                 reason=failed.failure.value,
                 detail=failed.detail,
             )
             return
         age = fetched.ok_value.age
-        if self._merge(fetched.ok_value, beat.sender.name) and age is not None:
+        if (
+            self._merge(fetched.ok_value, heartbeat.sender.name)
+            and age is not None
+        ):
             self._local_state.age.note_reported(age, asked_at)
         if self._local_state.suspects.add_evidence(fetched.ok_value.suspects):
             log_event(
                 'suspects-adopted',
                 count=len(fetched.ok_value.suspects),
-                source=beat.sender.name,
+                source=heartbeat.sender.name,
             )
         self._local_state.limits.merge_peer_limits(
             fetched.ok_value.limits,
-            beat.sender.name,
+            heartbeat.sender.name,
         )
-        self._compared[beat.sender.name] = (
-            _digests_of(beat.versions),
+        self._compared[heartbeat.sender.name] = (
+            _digests_of(heartbeat.versions),
             _digests_of(self._local_state.versions),
         )
         self._compared_at = asyncio.get_running_loop().time()
