--- a/src/wardstair/process/admission.py
+++ b/src/wardstair/process/admission.py
@@ -26,7 +26,7 @@
     slot: Slot
 
 
-class OutsideAdmission:
+class CrossRegionAdmission:
     """Takes and returns the tokens of requests from other regions."""
 
     def __init__(
@@ -69,7 +69,7 @@
             one = self._take(resource)
             if one is None:
                 self._put_back(taken)
-                self._loans.shortage(resource)
+                self._loans.start_borrowing(resource)
                 return cap_reached(resource)
             taken.append(one)
         if taken:
--- a/src/wardstair/process/calls.py
+++ b/src/wardstair/process/calls.py
@@ -26,7 +26,7 @@
 )
 
 
-class CallCarrier:
+class CallExecutor:
     """Carries calls; one a host."""
 
     def __init__(
@@ -55,7 +55,7 @@
         self._journal = journal
         self._metrics = metrics
 
-    async def carry(self, call: Call, sink: AnswerSink) -> CallEnd:
+    async def execute(self, call: Call, sink: AnswerSink) -> CallEnd:
         """Carry a call to its end."""
         entry = self._journal.open(call.request_id, self._configuration.version)
         entry.facts.update(
--- a/src/wardstair/process/capacity.py
+++ b/src/wardstair/process/capacity.py
@@ -149,7 +149,7 @@
         """
         return await self._change(_unchanged)
 
-    async def bury(self, dead: Identity) -> None:
+    async def reassign_tokens_of(self, dead: Identity) -> None:
         """Give the tokens of a host that the platform says is gone."""
         heirs = self._fleet.live_names()
         if self._me.name != min(set(heirs) - {dead.name}, default=''):
@@ -159,7 +159,7 @@
         )
         log_event('tokens-passed-on', dead=dead.name, done=done)
 
-    async def hand_over_all(self) -> None:
+    async def transfer_all(self) -> None:
         """Give all idle tokens to a live host, before this one ends."""
         self._loans.return_all()
         heirs = [
@@ -169,7 +169,7 @@
             return
         await self._give(self._random.choice(heirs), None)
 
-    async def even_out(self) -> None:
+    async def rebalance(self) -> None:
         """Give idle tokens to the host that owns least."""
         if self._stored is None:
             return
@@ -183,7 +183,7 @@
         if count and receiver != self._me.name:
             await self._give(receiver, count)
 
-    def hear(self, version: int) -> None:
+    def note_peer_version(self, version: int) -> None:
         """Note the version of the shares that a peer has adopted."""
         if version > self.shares_version:
             self._kick.set()
--- a/src/wardstair/process/configuration.py
+++ b/src/wardstair/process/configuration.py
@@ -119,7 +119,7 @@
             case Err():
                 return False
 
-    def hear(self, sender: str, version: int) -> None:
+    def note_peer_version(self, sender: str, version: int) -> None:
         """Note a version that a peer has; ask for it if it is newer."""
         if version > self.version:
             self._send(sender, HeadAsk(self.version))
@@ -165,13 +165,13 @@
         if waiting is not None and not waiting.done():
             waiting.set_result(message.content)
 
-    async def follow_peers(self) -> None:
+    async def adopt_from_peers(self) -> None:
         """Adopt what peers tell until cancelled."""
         while True:
             announced = await self._announced.get()
             await self._take(announced)
 
-    async def follow_platform(self) -> None:
+    async def watch_platform(self) -> None:
         """Watch or poll the platform until cancelled."""
         failures = 0
         for turn in itertools.count():
--- a/src/wardstair/process/dispatch.py
+++ b/src/wardstair/process/dispatch.py
@@ -37,7 +37,7 @@
         capacity: Capacity,
         loans: Loans,
         prober: Prober,
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
     ) -> None:
         """Name the receivers.
 
@@ -48,7 +48,7 @@
             capacity: Hears of versions of the shares.
             loans: Takes loans and holdings.
             prober: Takes reports of upstreams.
-            on_news: Called after each heartbeat.
+            on_update: Called after each heartbeat.
         """
         self._inbox = inbox
         self._fleet = fleet
@@ -56,7 +56,7 @@
         self._capacity = capacity
         self._loans = loans
         self._prober = prober
-        self._on_news = on_news
+        self._on_update = on_update
 
     async def run(self) -> None:
         """Handle messages until cancelled."""
@@ -112,7 +112,9 @@
             case ZoneGossip() as gossip:
                 self._fleet.on_gossip(sender, gossip)
                 for report in gossip.reports:
-                    self._configuration.hear(sender, report.version)
+                    self._configuration.note_peer_version(
+                        sender, report.version
+                    )
             case HostsAsk() as ask:
                 self._fleet.on_hosts_ask(sender, ask)
             case HostsGive() as give:
@@ -128,8 +130,8 @@
             if previous < row.incarnation:
                 self._loans.on_new_incarnation(row, previous)
             self._configuration.confirm(row.version, row.config_age)
-            self._capacity.hear(row.shares)
+            self._capacity.note_peer_version(row.shares)
         for report in heartbeat.reports:
             self._prober.note(report)
-        self._on_news()
-        self._configuration.hear(sender, heartbeat.row.version)
+        self._on_update()
+        self._configuration.note_peer_version(sender, heartbeat.row.version)
--- a/src/wardstair/process/fleet.py
+++ b/src/wardstair/process/fleet.py
@@ -64,7 +64,7 @@
         self.members = MemberTable()
         self.zones = ZoneTable()
         self.is_leaving = False
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_update: Callable[[], None] = lambda: None
         self.config_age: Callable[[], float] = lambda: 0.0
         self.shares_version: Callable[[], int] = lambda: 0
         self.moved: Callable[[], tuple[int, ...]] = tuple
@@ -97,7 +97,7 @@
                 for host in topology.zone_hosts(self._zone)
             ],
         )
-        self.beat()
+        self.broadcast_heartbeat()
         # Tell the other zones at once too: a restart of everything should
         # not wait for the next report.
         now = time.monotonic()
@@ -176,9 +176,9 @@
         if now - self._last_report >= report_seconds:
             self._last_report = now
             self._gossip(now)
-        self.on_news()
+        self.on_update()
 
-    def beat(self) -> None:
+    def broadcast_heartbeat(self) -> None:
         """Tell the whole zone this host's row now."""
         self._tell_row([host.name for host in self._zone_peers()])
 
@@ -286,7 +286,7 @@
         )
         return ranked
 
-    def far_free(self, zone: str, workload: str) -> int:
+    def free_in_zone(self, zone: str, workload: str) -> int:
         """Return how many requests another zone reported it could start."""
         topology = self._topology
         report = self.zones.report_of(zone, time.monotonic())
--- a/src/wardstair/process/forecasts.py
+++ b/src/wardstair/process/forecasts.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Outlook:
+class OrderForecast:
     """What an order would do.
 
     Attributes:
@@ -27,11 +27,11 @@
     is_safe: bool
 
 
-def outlook(
+def forecast_order(
     topology: Topology,
     action: Action,
     free: Callable[[str, str], int],
-) -> Outlook:
+) -> OrderForecast:
     """Forecast an order.
 
     Args:
@@ -60,7 +60,7 @@
         case _:
             forecasts = []
     lines = [_line(one) for one in forecasts]
-    return Outlook(lines, all(one.is_safe for one in forecasts))
+    return OrderForecast(lines, all(one.is_safe for one in forecasts))
 
 
 def _load(
--- a/src/wardstair/process/host.py
+++ b/src/wardstair/process/host.py
@@ -14,14 +14,14 @@
 from wardstair.connection.client import close_client, make_client
 from wardstair.decisions.ledger import Identity
 from wardstair.errors import Fault, Refusal
-from wardstair.process.admission import OutsideAdmission
-from wardstair.process.calls import CallCarrier
+from wardstair.process.admission import CrossRegionAdmission
+from wardstair.process.calls import CallExecutor
 from wardstair.process.capacity import Capacity
 from wardstair.process.configuration import Configuration
 from wardstair.process.dispatch import Dispatcher
 from wardstair.process.entry_gauges import add_entry_gauges
 from wardstair.process.fleet import Fleet
-from wardstair.process.forecasts import Outlook, outlook
+from wardstair.process.forecasts import OrderForecast, forecast_order
 from wardstair.process.journal import Journal, JournalEntry
 from wardstair.process.listeners import BODY_BYTES, HostPorts, Listeners
 from wardstair.process.loans import Loans
@@ -129,7 +129,7 @@
             self.fleet,
             random,
         )
-        self.outside = OutsideAdmission(
+        self.cross_region = CrossRegionAdmission(
             settings.host.region,
             self.capacity,
             self.loans,
@@ -153,7 +153,7 @@
             self.placement,
             settings.host.region,
         )
-        self._calls = CallCarrier(
+        self._calls = CallExecutor(
             self.configuration,
             self.fleet,
             self.forwarder,
@@ -229,8 +229,8 @@
         if not self.is_control_on:
             return
         tasks = {
-            'configuration-platform': self.configuration.follow_platform,
-            'configuration-peers': self.configuration.follow_peers,
+            'configuration-platform': self.configuration.watch_platform,
+            'configuration-peers': self.configuration.adopt_from_peers,
             'capacity': self.capacity.run,
             'fleet': self.fleet.run,
             'prober': self.prober.run,
@@ -256,7 +256,7 @@
             self._leaving_since = time.monotonic()
         started = self._leaving_since
         self.fleet.is_leaving = True
-        self.fleet.beat()
+        self.fleet.broadcast_heartbeat()
         self._render_lookups()
         log_event('leaving', host=self.me.name, open=self.open_requests)
         await asyncio.sleep(self._lookup_ttl() + LEAVE_MARGIN_SECONDS)
@@ -265,7 +265,7 @@
             await asyncio.sleep(END_POLL_SECONDS)
         seconds = time.monotonic() - started
         log_event('drained', host=self.me.name, seconds=round(seconds, 2))
-        await self.capacity.hand_over_all()
+        await self.capacity.transfer_all()
         return seconds
 
     async def stop(self) -> None:
@@ -313,15 +313,15 @@
         """Refuse work while stopping, and outside traffic over its cap."""
         if self._refuses_new:
             return problem.stopping()
-        return self.outside.admit(call)
+        return self.cross_region.admit(call)
 
     def release_outside(self, call: Call) -> None:
         """Note the end of a call that was let in."""
-        self.outside.release(call)
+        self.cross_region.release(call)
 
     async def carry(self, call: Call, sink: AnswerSink) -> CallEnd:
         """Carry a call to its end."""
-        return await self._calls.carry(call, sink)
+        return await self._calls.execute(call, sink)
 
     def note_end(self, call: Call, end: CallEnd, seconds: float) -> None:
         """Count and record the end of a call."""
@@ -396,30 +396,30 @@
                 log_event('order-refused', key=order.key, fault=faults[0])
                 return answer
 
-    def _forecast(self, order: Order) -> Outlook:
+    def _forecast(self, order: Order) -> OrderForecast:
         if self.topology is None:
-            return Outlook([], is_safe=True)
-        return outlook(self.topology, order.action, self._free_in)
+            return OrderForecast([], is_safe=True)
+        return forecast_order(self.topology, order.action, self._free_in)
 
     def _free_in(self, zone: str, workload: str) -> int:
         # This zone's own report sums the rows of its hosts too.
-        return self.fleet.far_free(zone, workload)
+        return self.fleet.free_in_zone(zone, workload)
 
     def _connect(self) -> None:
         self.configuration.on_adopt = self._adopt
         self.configuration.is_watcher = lambda: self.fleet.is_relay
-        self.fleet.on_news = self._render_lookups
+        self.fleet.on_update = self._render_lookups
         self.fleet.config_age = lambda: self.configuration.age
         self.fleet.shares_version = lambda: self.capacity.shares_version
-        self.fleet.moved = self.outside.moved
+        self.fleet.moved = self.cross_region.moved
         self.fleet.take_reports = self.prober.take_reports
-        self.prober.on_urgent = self.fleet.beat
+        self.prober.on_urgent = self.fleet.broadcast_heartbeat
         self.prober.choose_mine = self.fleet.probed_here
         self.links.on_link = self.fleet.on_link
         self.capacity.on_gain = self.pool.serve_waiting
         self.loans.on_gain = self.pool.serve_waiting
         self.loans.demand = self.pool.demand
-        self.pool.on_shortage = self.loans.shortage
+        self.pool.on_shortage = self.loans.start_borrowing
         self.pool.on_return = self.loans.give_back
         self.pool.on_release = self.loans.on_release
         add_entry_gauges(self)
@@ -430,7 +430,7 @@
         self.capacity.adopt(topology, zone_resources(topology, zone))
         self.pool.adopt(topology, zone, self.capacity.ledgers)
         region = self.settings.host.region
-        self.outside.shifts = shifts_to(topology, region)
+        self.cross_region.shifts = shifts_to(topology, region)
         self.placement.adopt(topology)
         self.fleet.adopt(topology)
         self._render_lookups()
@@ -455,7 +455,7 @@
         while True:
             await asyncio.sleep(IDLE_SWEEP_SECONDS)
             self.loans.expire()
-            self.loans.ask_holdings()
+            self.loans.query_holdings()
             self.pool.serve_waiting()
             now = time.monotonic()
             for exchange in list(self.forwarder.open_exchanges):
@@ -475,7 +475,7 @@
                     )
                 case Err():
                     continue
-            await self.capacity.even_out()
+            await self.capacity.rebalance()
 
     async def _ask_seeds(self) -> None:
         """Hear of a version from peers while the platform tells of none."""
@@ -490,7 +490,9 @@
             incarnation = self.fleet.incarnation_of(name)
             is_silent = name not in self.fleet.live_names()
             if incarnation is not None and is_silent:
-                await self.capacity.bury(Identity(name, incarnation))
+                await self.capacity.reassign_tokens_of(
+                    Identity(name, incarnation)
+                )
 
     def _lookup_ttl(self) -> float:
         if self.topology is None:
--- a/src/wardstair/process/loans.py
+++ b/src/wardstair/process/loans.py
@@ -84,7 +84,7 @@
             task.cancel()
         await asyncio.gather(*borrowing, return_exceptions=True)
 
-    def shortage(self, name: str) -> None:
+    def start_borrowing(self, name: str) -> None:
         """Borrow tokens of a resource in the background."""
         if name in self._borrowing or name not in self._book.ledgers:
             return
@@ -156,7 +156,7 @@
             self.on_release(message.resource)
             self.on_gain()
 
-    def ask_holdings(self) -> None:
+    def query_holdings(self) -> None:
         """Ask the zone who still uses tokens that no time brings back."""
         others = self._book.registered - {self._me}
         now = time.monotonic()
@@ -197,7 +197,7 @@
         if ledger.unresolved:
             answers = self._holdings.setdefault(message.resource, {})
             answers[sender] = message.holdings
-            self.ask_holdings()
+            self.query_holdings()
         self.on_gain()
 
     def on_new_incarnation(self, row: HostRow, previous: str) -> None:
--- a/src/wardstair/process/placement.py
+++ b/src/wardstair/process/placement.py
@@ -116,7 +116,7 @@
                 zone,
                 delays.get(zone, FAR_MILLISECONDS),
                 topology.slots(workload, zone),
-                self._fleet.far_free(zone, workload),
+                self._fleet.free_in_zone(zone, workload),
                 self._fleet.report_age(zone),
             )
             for zone in topology.zone_regions
--- a/src/wardstair/process/shifting.py
+++ b/src/wardstair/process/shifting.py
@@ -78,7 +78,7 @@
             in_flight=sum(count or 0 for count in moved),
             slots=sum(topology.slots(shift.workload, zone) for zone in zones),
             free=sum(
-                self._fleet.far_free(zone, shift.workload) for zone in zones
+                self._fleet.free_in_zone(zone, shift.workload) for zone in zones
             ),
             age=max(ages) if is_known else float('inf'),
         )
--- a/src/wardstair/standins/deployment.py
+++ b/src/wardstair/standins/deployment.py
@@ -231,7 +231,7 @@
             return False
         # All slots are free at first, so a smaller count is an old one.
         return all(
-            host.fleet.far_free(zone, workload.name)
+            host.fleet.free_in_zone(zone, workload.name)
             == topology.slots(workload.name, zone)
             for zone in zones
             for workload in self.document.workloads
--- a/tests/functional/test_fleet.py
+++ b/tests/functional/test_fleet.py
@@ -243,7 +243,7 @@
         deployment = trial.deployment
         gone = deployment.hosts.pop('west-a-2')
         await gone.stop()
-        await deployment.hosts['west-a-1'].capacity.bury(gone.me)
+        await deployment.hosts['west-a-1'].capacity.reassign_tokens_of(gone.me)
         assert owned(trial, 'views-west-a') == {'west-a-1': 3}
 
     run_trial(small_document(), test)
