--- a/src/wardstair/process/admission.py
+++ b/src/wardstair/process/admission.py
@@ -1,4 +1,4 @@
-"""Lets traffic from other regions in only while its tokens last."""
+"""Admits traffic from other regions while tokens for it are available."""
 
 import time
 from collections.abc import Callable
@@ -20,14 +20,14 @@
 
 
 @dataclass(frozen=True)
-class _Taken:
+class _HeldToken:
     resource: str
     ledger: Ledger
     slot: Slot
 
 
 class CrossRegionAdmission:
-    """Takes and returns the tokens of requests from other regions."""
+    """Acquires and releases the tokens of requests from other regions."""
 
     def __init__(
         self,
@@ -40,19 +40,20 @@
 
         Args:
             region: Region of this host.
-            capacity: Where the tokens are.
-            loans: Brings and returns borrowed ones.
-            config_age: Seconds since the configuration was confirmed.
+            capacity: Ledgers of the tokens.
+            loans: Borrows tokens and returns them.
+            config_age: Returns the seconds since the configuration in force
+                was last known to be the newest.
         """
         self.shifts: tuple[ActiveShift, ...] = ()
         self._region = region
         self._capacity = capacity
         self._loans = loans
         self._config_age = config_age
-        self._taken: dict[str, list[_Taken]] = {}
+        self._held_tokens: dict[str, list[_HeldToken]] = {}
 
     def moved(self) -> tuple[int, ...]:
-        """Return the requests in flight of each shift to this region."""
+        """Return the requests in flight here for each shift to this region."""
         counts = []
         for shift in self.shifts:
             resource = shift_resource(shift.name)
@@ -61,40 +62,45 @@
         return tuple(counts)
 
     def admit(self, call: Call) -> Refusal | None:
-        """Take the tokens of a call, or say which one is missing."""
+        """Acquire all tokens that a call needs.
+
+        Returns:
+            None if the call is admitted; otherwise a refusal that names the
+            resource without a free token.
+        """
         origin = Origin(call.origin, call.route.workload.name)
         needed = tokens_needed(origin, self._region, self.shifts)
-        taken: list[_Taken] = []
+        acquired: list[_HeldToken] = []
         for resource in needed:
-            one = self._take(resource)
+            one = self._acquire(resource)
             if one is None:
-                self._put_back(taken)
+                self._release_tokens(acquired)
                 self._loans.start_borrowing(resource)
                 return cap_reached(resource)
-            taken.append(one)
-        if taken:
-            self._taken[call.request_id] = taken
+            acquired.append(one)
+        if acquired:
+            self._held_tokens[call.request_id] = acquired
         return None
 
     def release(self, call: Call) -> None:
-        """Return the tokens of a call that has ended."""
-        self._put_back(self._taken.pop(call.request_id, []))
+        """Release the tokens of a call that has ended."""
+        self._release_tokens(self._held_tokens.pop(call.request_id, []))
 
-    def _take(self, resource: str) -> _Taken | None:
+    def _acquire(self, resource: str) -> _HeldToken | None:
         is_shift = resource.startswith(shift_resource(''))
         if is_shift and self._config_age() > SHIFT_STALE_SECONDS:
-            # The cap may have been lowered meanwhile; nothing new moves on
-            # a cap that cannot be confirmed.
+            # The cap may have been lowered since, so no new requests are
+            # admitted under a cap that cannot be confirmed.
             return None
         ledger = self._capacity.ledgers.get(resource)
         slot = None if ledger is None else ledger.take(time.monotonic())
         if ledger is None or slot is None:
             return None
-        return _Taken(resource, ledger, slot)
+        return _HeldToken(resource, ledger, slot)
 
-    def _put_back(self, taken: list[_Taken]) -> None:
+    def _release_tokens(self, acquired: list[_HeldToken]) -> None:
         now = time.monotonic()
-        for one in taken:
+        for one in acquired:
             loan = one.ledger.put_back(one.slot.token, now)
             if loan is not None:
                 self._loans.give_back(one.resource, loan)
--- a/src/wardstair/process/calls.py
+++ b/src/wardstair/process/calls.py
@@ -1,4 +1,4 @@
-"""Carries calls of an entry host, and records how each one ended."""
+"""Executes the calls of an entry host and records how each one ended."""
 
 from wardstair.decisions.ledger import Identity
 from wardstair.errors import Refusal
@@ -27,7 +27,7 @@
 
 
 class CallExecutor:
-    """Carries calls; one a host."""
+    """Executes calls; there is one per host."""
 
     def __init__(
         self,
@@ -38,14 +38,14 @@
         journal: Journal,
         metrics: Metrics,
     ) -> None:
-        """Prepare without calls.
+        """Start without calls.
 
         Args:
             configuration: The version in force.
             fleet: The other hosts.
             forwarder: Sends calls to upstreams and other hosts.
-            keeper: Knows the homes of keys.
-            journal: What was done and why.
+            keeper: Finds the owners of keys.
+            journal: Records what was done and why.
             metrics: Counters.
         """
         self._configuration = configuration
@@ -56,7 +56,7 @@
         self._metrics = metrics
 
     async def execute(self, call: Call, sink: AnswerSink) -> CallEnd:
-        """Carry a call to its end."""
+        """Execute a call until it ends."""
         entry = self._journal.open(call.request_id, self._configuration.version)
         entry.facts.update(
             workload=call.route.workload.name,
@@ -67,7 +67,7 @@
         if call.key is None:
             return await self._forwarder.forward(call, sink, entry)
         self._journal.alias(call.key, entry)
-        return await self._carry_once(call, sink, entry)
+        return await self._execute_once(call, sink, entry)
 
     def note_end(self, call: Call, end: CallEnd, seconds: float) -> None:
         """Count and record the end of a call."""
@@ -100,14 +100,14 @@
         """Count a refusal."""
         self._metrics.refusals.add(str(refusal.kind), workload)
 
-    async def _carry_once(
+    async def _execute_once(
         self,
         call: Call,
         sink: AnswerSink,
         entry: JournalEntry,
     ) -> CallEnd:
-        home = await self._keeper.find_home(call.key or '')
-        match home:
+        owner = await self._keeper.find_home(call.key or '')
+        match owner:
             case HomeHere(issued_at=issued_at):
                 return await self._keeper.run(
                     call,
@@ -116,21 +116,21 @@
                     sink,
                 )
             case HomeElsewhere(home=identity):
-                entry.add_step(f'home is {identity.name}')
-                return await self._relay_home(call, identity, sink)
+                entry.add_step(f'key is owned by {identity.name}')
+                return await self._relay_to_owner(call, identity, sink)
             case HomeLost(reason=reason):
                 return Refused(problem.outcome_unknown(reason))
 
-    async def _relay_home(
+    async def _relay_to_owner(
         self,
         call: Call,
-        home: Identity,
+        owner: Identity,
         sink: AnswerSink,
     ) -> CallEnd:
         topology = self._configuration.topology
-        host = None if topology is None else topology.hosts.get(home.name)
-        known = self._fleet.incarnation_of(home.name)
-        is_gone = known is not None and known != home.incarnation
+        host = None if topology is None else topology.hosts.get(owner.name)
+        known = self._fleet.incarnation_of(owner.name)
+        is_gone = known is not None and known != owner.incarnation
         if host is None or is_gone or call.is_internal:
             reason = 'the host that remembers its key has been replaced'
             return Refused(problem.outcome_unknown(reason))
--- a/src/wardstair/process/capacity.py
+++ b/src/wardstair/process/capacity.py
@@ -1,8 +1,8 @@
-"""Keeps this host's tokens in step with the zone's shares.
+"""Synchronizes the tokens of this host with the shares of its zone.
 
-Ownership is read from and written to the platform; loans pass between hosts
-of the zone without it. While the platform is away, ownership stands still
-and loans go on.
+Ownership is read from and written to the platform. Loans between hosts of the
+zone don't need the platform: while it is unreachable, ownership does not change
+but loans continue.
 """
 
 import asyncio
@@ -39,12 +39,13 @@
 from wardstair.version.topology import Topology
 
 SHARES_KIND = 'shares'
-SYNC_SECONDS = 300.0
-WRITE_TRIES = 8
+# Upper bound of the interval between two reads of the shares.
+SYNC_INTERVAL_SECONDS = 300.0
+MAX_WRITE_ATTEMPTS = 8
 
 
 class Capacity:
-    """Ownership of the tokens of one host."""
+    """The tokens that one host owns."""
 
     def __init__(
         self,
@@ -61,11 +62,11 @@
         Args:
             me: This incarnation.
             zone: Zone of this host.
-            platform: Where the zone's shares are kept.
+            platform: Client of the store that keeps the zone's shares.
             loans: Loans of these tokens.
             book: The tokens of this host.
-            fleet: Who is alive to inherit or receive tokens.
-            random: Source of jitter.
+            fleet: The live hosts, which may receive tokens.
+            random: Source of jitter and of the choice of receivers.
         """
         self.on_gain: Callable[[], None] = lambda: None
         self._me = me
@@ -78,30 +79,30 @@
         self._hosts: tuple[str, ...] = ()
         self._version = 0
         self._stored: StoredObject | None = None
-        self._predecessor = False
+        self._has_predecessor = False
         self._registered = False
         self._kept_ledgers: dict[str, Ledger] = {}
-        self._known_tokens: dict[str, int] = {}
-        self._kick = asyncio.Event()
+        self._known_sizes: dict[str, int] = {}
+        self._sync_requested = asyncio.Event()
 
     @property
     def ledgers(self) -> dict[str, Ledger]:
-        """The ledgers of the version in force, by resource."""
+        """The ledgers of the version in force, by name of the resource."""
         return self._book.ledgers
 
     @property
     def is_fenced(self) -> bool:
-        """Whether another incarnation of this host has its tokens."""
+        """Whether a later incarnation of this host owns its tokens."""
         return self._book.is_fenced
 
     @property
     def shares_version(self) -> int:
-        """Version of the zone's shares that is adopted here."""
+        """Version of the zone's shares adopted by this host; 0 if none."""
         return 0 if self._stored is None else self._stored.version
 
     @property
     def is_settled(self) -> bool:
-        """Whether this incarnation has its tokens of the version."""
+        """Whether the adopted shares fit the configuration in force."""
         if self._stored is None:
             return False
         shares = shares_from_json(self._stored.value)
@@ -112,37 +113,37 @@
         topology: Topology,
         resources: Mapping[str, Resource],
     ) -> None:
-        """Take over the capacities of a new version."""
+        """Apply the capacities of a new version of the configuration."""
         self._book.resources = dict(resources)
         self._version = topology.version
         self._hosts = tuple(
             host.name for host in topology.zone_hosts(self._zone)
         )
         self._book.ledgers = {
-            resource.name: self._fitting_ledger(resource)
+            resource.name: self._ledger_for(resource)
             for resource in resources.values()
         }
-        self._kick.set()
+        self._sync_requested.set()
 
     async def run(self) -> None:
-        """Keep the shares in step until cancelled."""
+        """Synchronize with the shares until cancelled."""
         failures = 0
         while True:
-            self._kick.clear()
+            self._sync_requested.clear()
             done = await self.sync()
             failures = 0 if done else failures + 1
-            wait = SYNC_SECONDS * self._random.uniform(0.7, 1.0)
+            wait = SYNC_INTERVAL_SECONDS * self._random.uniform(0.7, 1.0)
             if failures:
                 wait = backoff_seconds(failures, self._random)
-            # Not asyncio.wait_for: before Python 3.12 it can swallow a
-            # cancellation that comes with the event, and the host's stop
-            # then waited for this task for ever.
+            # asyncio.wait_for isn't used: before Python 3.12 it can swallow a
+            # cancellation that arrives together with the event, and stopping
+            # the host would then wait for this task for ever.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
-                    await self._kick.wait()
+                    await self._sync_requested.wait()
 
     async def sync(self) -> bool:
-        """Read the zone's shares, change them if need be, and adopt them.
+        """Read the zone's shares, update them if necessary, and adopt them.
 
         Returns:
             Whether the shares are known and fit the configuration.
@@ -150,27 +151,32 @@
         return await self._change(_unchanged)
 
     async def reassign_tokens_of(self, dead: Identity) -> None:
-        """Give the tokens of a host that the platform says is gone."""
-        heirs = self._fleet.live_names()
-        if self._me.name != min(set(heirs) - {dead.name}, default=''):
+        """Reassign the tokens of a host that the platform lists as gone.
+
+        Only the live host that is first by name does it.
+        """
+        receivers = self._fleet.live_names()
+        if self._me.name != min(set(receivers) - {dead.name}, default=''):
             return
         done = await self._change(
-            lambda shares: pass_on(shares, dead.name, dead.incarnation, heirs),
+            lambda shares: pass_on(
+                shares, dead.name, dead.incarnation, receivers
+            ),
         )
         log_event('tokens-passed-on', dead=dead.name, done=done)
 
     async def transfer_all(self) -> None:
-        """Give all idle tokens to a live host, before this one ends."""
+        """Transfer all idle tokens to a live host before this one stops."""
         self._loans.return_all()
-        heirs = [
+        receivers = [
             name for name in self._fleet.live_names() if name != self._me.name
         ]
-        if not heirs or self._stored is None:
+        if not receivers or self._stored is None:
             return
-        await self._give(self._random.choice(heirs), None)
+        await self._transfer(self._random.choice(receivers), None)
 
     async def rebalance(self) -> None:
-        """Give idle tokens to the host that owns least."""
+        """Transfer idle tokens to the live host that owns the fewest."""
         if self._stored is None:
             return
         shares = shares_from_json(self._stored.value)
@@ -181,16 +187,16 @@
         ]
         receiver, count = surplus(shares, self._me.name, live)
         if count and receiver != self._me.name:
-            await self._give(receiver, count)
+            await self._transfer(receiver, count)
 
     def note_peer_version(self, version: int) -> None:
-        """Note the version of the shares that a peer has adopted."""
+        """Synchronize if a peer has adopted newer shares than this host."""
         if version > self.shares_version:
-            self._kick.set()
+            self._sync_requested.set()
 
-    def _fitting_ledger(self, resource: Resource) -> Ledger:
-        # The ledger of a resource that was removed is kept: when it comes
-        # back, work from before may still run on its tokens.
+    def _ledger_for(self, resource: Resource) -> Ledger:
+        # The ledger of a removed resource is kept: when the resource is added
+        # again, earlier work may still run on its tokens.
         ledger = self._kept_ledgers.setdefault(
             resource.name,
             Ledger(resource.hold_seconds),
@@ -202,14 +208,18 @@
         return ledger
 
     async def _change(self, change: Callable[[Shares], Shares]) -> bool:
-        """Change the newest shares and adopt them; False if it failed.
+        """Apply a change to the stored shares and adopt the result.
 
-        The change is made to whatever is stored by then, so it has to be
-        right for any state of the shares.
+        After a version conflict the change is applied to the newly stored
+        shares, so it must be correct for any state of them.
+
+        Returns:
+            False if there is no configuration yet, or if the shares could not
+            be read or written.
         """
         if not self._book.resources:
             return False
-        for _ in range(WRITE_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             written = await self._change_once(change)
             match written:
                 case Ok(stored):
@@ -227,9 +237,9 @@
         stored: StoredObject | None = None
         shares = Shares()
         match found:
-            case Ok(there):
-                stored = there
-                shares = shares_from_json(there.value)
+            case Ok(existing):
+                stored = existing
+                shares = shares_from_json(existing.value)
             case Err(ObjectMissing()):
                 pass  # noqa: WPS420
             case Err() as failed:
@@ -239,8 +249,8 @@
             self._fence(rival)
             return Ok(stored)
         if not self._registered and rival:
-            self._predecessor = rival != self._me.incarnation
-        wanted = self._fitted(change(shares))
+            self._has_predecessor = rival != self._me.incarnation
+        wanted = self._register_and_fit(change(shares))
         if stored is not None and wanted == shares:
             return Ok(stored)
         return await self._platform.write_surely(
@@ -250,7 +260,7 @@
             0 if stored is None else stored.version,
         )
 
-    def _fitted(self, shares: Shares) -> Shares:
+    def _register_and_fit(self, shares: Shares) -> Shares:
         registered = register(shares, self._me.name, self._me.incarnation)
         sizes = {one.name: one.size for one in self._book.resources.values()}
         return fit(registered, sizes, self._hosts, self._version)
@@ -268,67 +278,70 @@
             Identity(name, incarnation)
             for name, incarnation in shares.incarnations.items()
         )
-        if is_first and not self._predecessor:
-            # No earlier incarnation of this host ever held a token.
-            self._known_tokens = {}
+        if is_first and not self._has_predecessor:
+            # No earlier incarnation of this host has held a token.
+            self._known_sizes = {}
         elif is_first:
-            self._known_tokens = _sizes(shares)
+            self._known_sizes = _token_counts(shares)
         for name in self._book.ledgers:
             self._adopt_resource(shares, name)
-        self._known_tokens = _sizes(shares)
+        self._known_sizes = _token_counts(shares)
         self.on_gain()
 
     def _adopt_resource(self, shares: Shares, name: str) -> None:
         now = time.monotonic()
         resource = self._book.resources[name]
         ledger = self._book.ledgers[name]
-        mine = {
+        own_tokens = {
             token
             for token in shares.owned_by(self._me.name, name)
             if token < resource.size
         }
-        for token in ledger.owned.keys() - mine:
+        for token in ledger.owned.keys() - own_tokens:
             ledger.retire(token)
-        # Rows of the shares never shrink, so a token past what was known
+        # Rows of the shares never shrink, so a token beyond the known size
         # had no owner before.
-        known = self._known_tokens.get(name, 0)
-        for token in sorted(mine):
+        known = self._known_sizes.get(name, 0)
+        for token in sorted(own_tokens):
             settle = resource.settle_seconds if token < known else 0
             ledger.adopt(token, now, settle)
 
     def _fence(self, rival: str) -> None:
         if self._book.is_fenced:
             return
-        # The platform's host list replaced this process while it was
-        # paused or cut off; the other incarnation has the tokens now.
+        # The platform replaced this process by another incarnation while it
+        # was paused or cut off. The other incarnation owns the tokens now.
         self._book.is_fenced = True
         log_warning('fenced', rival=rival, incarnation=self._me.incarnation)
         for ledger in self._book.ledgers.values():
             for token in ledger.owned:
                 ledger.retire(token)
 
-    async def _give(self, receiver: str, most: int | None) -> None:
+    async def _transfer(self, receiver: str, max_count: int | None) -> None:
         assert self._stored is not None
-        given: dict[str, list[int]] = {}
+        transferred: dict[str, list[int]] = {}
         count = 0
         for name, ledger in self._book.ledgers.items():
             for token in ledger.idle_owned:
-                if most is not None and count >= most:
+                if max_count is not None and count >= max_count:
                     break
                 if ledger.disown(token):
-                    given.setdefault(name, []).append(token)
+                    transferred.setdefault(name, []).append(token)
                     count += 1
-        if not given:
+        if not transferred:
             return
-        # Given up here already: if the write fails, the next reading of the
-        # shares tells whose they are, and they settle anew.
+        # The tokens are already disowned here. If the write fails, the next
+        # read of the shares shows their owner, which adopts them again after
+        # the settle time.
         done = await self._change(
-            lambda shares: hand_over(shares, self._me.name, receiver, given),
+            lambda shares: hand_over(
+                shares, self._me.name, receiver, transferred
+            ),
         )
         log_event('tokens-handed-over', to=receiver, count=count, done=done)
 
 
-def _sizes(shares: Shares) -> dict[str, int]:
+def _token_counts(shares: Shares) -> dict[str, int]:
     return {name: len(row) for name, row in shares.owners.items()}
 
 
@@ -337,7 +350,7 @@
 
 
 def shares_as_json(shares: Shares) -> dict[str, object]:
-    """Return the form in which shares are stored."""
+    """Return the JSON form in which shares are stored."""
     return {
         'owners': {
             resource: list(owners) for resource, owners in shares.owners.items()
@@ -348,7 +361,7 @@
 
 
 def shares_from_json(value: Mapping[str, object]) -> Shares:
-    """Read stored shares."""
+    """Parse stored shares."""
     owners = value['owners']
     incarnations = value['incarnations']
     version = value['version']
--- a/src/wardstair/process/configuration.py
+++ b/src/wardstair/process/configuration.py
@@ -1,8 +1,8 @@
-"""Brings each accepted version into force here, and helps it to spread.
+"""Puts each accepted version of the configuration in force on this host.
 
-Two hosts a zone watch the platform; the others hear of a version from them.
-A host adopts only a higher version than it has, wherever it comes from, so
-a late watch, an old peer or a restart elsewhere cannot take it back.
+Two hosts per zone watch the platform; the others receive new versions from
+them. A host adopts only a version higher than its own, whatever its source, so
+a late watch, an outdated peer or a restart elsewhere cannot revert it.
 """
 
 import asyncio
@@ -42,21 +42,23 @@
 HEAD_NAME = 'head'
 PART_KIND = 'parts'
 WATCH_SECONDS = 30.0
-POLL_SECONDS = 300.0
-PART_SECONDS = 2.0
-FIRST_TRIES = 3
+# Upper bound of the interval at which hosts that don't watch read the platform.
+POLL_INTERVAL_SECONDS = 300.0
+PART_TIMEOUT_SECONDS = 2.0
+# Watches that a host attempts after its start even if it isn't a watcher.
+INITIAL_WATCH_ATTEMPTS = 3
 
 Send = Callable[[str, PeerMessage], bool]
 
 
 @dataclass(frozen=True)
-class Announced:
-    """A head and where it was heard of.
+class AnnouncedHead:
+    """The head of a version, and where it came from.
 
     Attributes:
-        version: Its version.
+        version: Number of the version.
         head: The head.
-        source: Name of the host that told it, or None for the platform.
+        source: Name of the host that sent it; None for the platform.
     """
 
     version: int
@@ -65,7 +67,7 @@
 
 
 class Configuration:
-    """The version in force on this host."""
+    """The version of the configuration in force on this host."""
 
     def __init__(
         self,
@@ -76,8 +78,9 @@
         """Start without a version.
 
         Args:
-            platform: Where versions are stored.
-            send: Sends a message to an entry host.
+            platform: Client of the store that keeps the versions.
+            send: Sends a message to an entry host; returns False if there is
+                no link to it.
             random: Source of jitter.
         """
         self.topology: Topology | None = None
@@ -90,42 +93,49 @@
         self._random = random
         self._confirmed_at = float('-inf')
         self._parts: dict[str, bytes] = {}
-        self._wanted_parts: dict[str, asyncio.Future[bytes]] = {}
-        self._announced: asyncio.Queue[Announced] = asyncio.Queue(64)
+        self._requested_parts: dict[str, asyncio.Future[bytes]] = {}
+        self._announcements: asyncio.Queue[AnnouncedHead] = asyncio.Queue(64)
         self._adopting = asyncio.Lock()
 
     @property
     def version(self) -> int:
-        """Version in force; 0 before the first."""
+        """The version in force; 0 if there is none yet."""
         return 0 if self.topology is None else self.topology.version
 
     @property
     def age(self) -> float:
-        """Seconds since the version was known to be the newest."""
+        """Seconds since the version in force was known to be the newest."""
         return time.monotonic() - self._confirmed_at
 
     def confirm(self, version: int, age: float) -> None:
-        """Note that a version was the newest some seconds ago."""
+        """Record that a version was known to be the newest at an earlier time.
+
+        Args:
+            version: Number of the version.
+            age: Seconds since that time.
+        """
         if version == self.version:
-            heard = time.monotonic() - age
-            self._confirmed_at = max(self._confirmed_at, heard)
+            confirmed_at = time.monotonic() - age
+            self._confirmed_at = max(self._confirmed_at, confirmed_at)
 
     async def load(self) -> bool:
-        """Read the head from the platform and adopt it; False if it fails."""
+        """Read the head from the platform and adopt it; False on failure."""
         found = await self._platform.read(HEAD_KIND, HEAD_NAME)
         match found:
             case Ok(stored):
-                return await self._take(_announcement(stored))
+                return await self._adopt_if_newer(
+                    _announced_by_platform(stored)
+                )
             case Err():
                 return False
 
     def note_peer_version(self, sender: str, version: int) -> None:
-        """Note a version that a peer has; ask for it if it is newer."""
+        """Request the head of a peer's version if it is newer than this one."""
         if version > self.version:
             self._send(sender, HeadAsk(self.version))
 
     def on_head_ask(self, sender: str, message: HeadAsk) -> None:
-        """Tell the version in force if it is newer than the sender's."""
+        """Send the version in force if it is newer than the sender's."""
         if self.head is None or self.version <= message.newer_than:
             return
         head = self.head
@@ -141,48 +151,51 @@
         )
 
     def on_head_give(self, sender: str, message: HeadGive) -> None:
-        """Queue a head for adoption."""
+        """Queue a head for adoption if its version is newer."""
         head = Head(
             message.base,
             message.blocks,
             message.command,
             message.operator,
         )
-        if message.version <= self.version or self._announced.full():
+        if message.version <= self.version or self._announcements.full():
             return
-        self._announced.put_nowait(Announced(message.version, head, sender))
+        self._announcements.put_nowait(
+            AnnouncedHead(message.version, head, sender)
+        )
 
     def on_part_ask(self, sender: str, message: PartAsk) -> None:
-        """Send a part if it is here."""
+        """Send a part if this host has it."""
         part = self._parts.get(message.digest)
         if part is not None:
             self._send(sender, PartGive(part))
 
     def on_part_give(self, message: PartGive) -> None:
-        """Take a part that was asked for."""
+        """Accept a part that this host has requested."""
         digest = part_digest(message.content)
-        waiting = self._wanted_parts.get(digest)
+        waiting = self._requested_parts.get(digest)
         if waiting is not None and not waiting.done():
             waiting.set_result(message.content)
 
     async def adopt_from_peers(self) -> None:
-        """Adopt what peers tell until cancelled."""
+        """Adopt versions that peers send until cancelled."""
         while True:
-            announced = await self._announced.get()
-            await self._take(announced)
+            announced = await self._announcements.get()
+            await self._adopt_if_newer(announced)
 
     async def watch_platform(self) -> None:
         """Watch or poll the platform until cancelled."""
         failures = 0
-        for turn in itertools.count():
-            if not self.is_watcher() and turn >= FIRST_TRIES:
-                # Others of the zone watch; this is only the safety net.
-                wait = POLL_SECONDS * self._random.uniform(0.5, 1.0)
+        for attempt in itertools.count():
+            if not self.is_watcher() and attempt >= INITIAL_WATCH_ATTEMPTS:
+                # Other hosts of the zone watch. Polling only limits the delay
+                # if their messages do not arrive.
+                wait = POLL_INTERVAL_SECONDS * self._random.uniform(0.5, 1.0)
                 await asyncio.sleep(wait)
                 await self.load()
                 continue
-            followed = await self._watch()
-            failures = 0 if followed else failures + 1
+            has_succeeded = await self._watch()
+            failures = 0 if has_succeeded else failures + 1
             if failures:
                 wait = backoff_seconds(failures, self._random)
                 await asyncio.sleep(wait)
@@ -191,20 +204,20 @@
         listed = await self._platform.list_kind(HEAD_KIND)
         match listed:
             case Ok(found):
-                await self._take_newest(found)
+                await self._adopt_listed_head(found)
             case Err():
                 return False
         revision = listed.ok_value.revision
         while True:
-            news = await self._platform.watch(
+            changes = await self._platform.watch(
                 HEAD_KIND,
                 revision,
                 WATCH_SECONDS,
             )
-            match news:
+            match changes:
                 case Ok(found):
                     revision = found.revision
-                    await self._take_newest(found)
+                    await self._adopt_listed_head(found)
                     self.confirm(self.version, 0)
                 case Err(WatchForgotten()):
                     return True
@@ -213,12 +226,12 @@
             if not self.is_watcher():
                 return True
 
-    async def _take_newest(self, found: ObjectList) -> None:
+    async def _adopt_listed_head(self, found: ObjectList) -> None:
         for stored in found.objects:
             if stored.name == HEAD_NAME:
-                await self._take(_announcement(stored))
+                await self._adopt_if_newer(_announced_by_platform(stored))
 
-    async def _take(self, announced: Announced) -> bool:
+    async def _adopt_if_newer(self, announced: AnnouncedHead) -> bool:
         async with self._adopting:
             if announced.version <= self.version:
                 if announced.source is None:
@@ -226,7 +239,7 @@
                 return True
             return await self._adopt(announced)
 
-    async def _adopt(self, announced: Announced) -> bool:
+    async def _adopt(self, announced: AnnouncedHead) -> bool:
         parts: dict[str, bytes] = {}
         for digest in announced.head.digests:
             part = await self._fetch(digest, announced.source)
@@ -244,7 +257,7 @@
                     unpacked.document,
                     unpacked.table,
                 )
-        self._bring_into_force(topology, announced.head)
+        self._put_in_force(topology, announced.head)
         self._parts = parts
         if announced.source is None:
             self._confirmed_at = self.adopted_at
@@ -256,7 +269,7 @@
         )
         return True
 
-    def _bring_into_force(self, topology: Topology, head: Head) -> None:
+    def _put_in_force(self, topology: Topology, head: Head) -> None:
         old_topology = self.topology
         old_head = self.head
         self.topology = topology
@@ -264,8 +277,8 @@
         try:
             self.on_adopt(topology)
         except Exception:
-            # Not in force as a whole is not in force: say the old version
-            # until the next try.
+            # A version that is only partly applied must not be reported as in
+            # force: keep the old one until the next attempt.
             self.topology = old_topology
             self.head = old_head
             raise
@@ -294,17 +307,17 @@
         waiting: asyncio.Future[bytes] = (
             asyncio.get_running_loop().create_future()
         )
-        self._wanted_parts[digest] = waiting
+        self._requested_parts[digest] = waiting
         try:
             if not self._send(source, PartAsk(digest)):
                 return None
-            async with asyncio.timeout(PART_SECONDS):
+            async with asyncio.timeout(PART_TIMEOUT_SECONDS):
                 return await waiting
         except TimeoutError:
             return None
         finally:
-            self._wanted_parts.pop(digest, None)
+            self._requested_parts.pop(digest, None)
 
 
-def _announcement(stored: StoredObject) -> Announced:
-    return Announced(stored.version, head_from_json(stored.value), None)
+def _announced_by_platform(stored: StoredObject) -> AnnouncedHead:
+    return AnnouncedHead(stored.version, head_from_json(stored.value), None)
--- a/src/wardstair/process/dispatch.py
+++ b/src/wardstair/process/dispatch.py
@@ -1,4 +1,4 @@
-"""Hands each message of another entry host to the task it is for."""
+"""Dispatches messages of other entry hosts to their handlers."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class Dispatcher:
-    """Reads the inbox of the links."""
+    """Reads the inbox of the links and calls the handler of each message."""
 
     def __init__(
         self,
@@ -39,15 +39,15 @@
         prober: Prober,
         on_update: Callable[[], None],
     ) -> None:
-        """Name the receivers.
+        """Set the handlers.
 
         Args:
             inbox: Messages with their senders.
-            fleet: Takes heartbeats and reports.
-            configuration: Takes heads and parts.
-            capacity: Hears of versions of the shares.
-            loans: Takes loans and holdings.
-            prober: Takes reports of upstreams.
+            fleet: Handles heartbeats and reports of zones.
+            configuration: Handles heads and parts.
+            capacity: Handles versions of the shares.
+            loans: Handles loans and holdings.
+            prober: Handles reports of upstreams.
             on_update: Called after each heartbeat.
         """
         self._inbox = inbox
--- a/src/wardstair/process/entry_gauges.py
+++ b/src/wardstair/process/entry_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges and counters of an entry host, read when metrics are scraped."""
+"""Gauges and counters of an entry host, computed when metrics are scraped."""
 
 from typing import TYPE_CHECKING
 
@@ -7,7 +7,7 @@
 
 
 def add_entry_gauges(host: 'EntryHost') -> None:
-    """Add them to the host's metrics."""
+    """Add the gauges and counters to the metrics of a host."""
     host.metrics.add_gauge(
         'wardstair_slots_in_use',
         'Slots in use by this host, by resource',
--- a/src/wardstair/process/fleet.py
+++ b/src/wardstair/process/fleet.py
@@ -1,4 +1,4 @@
-"""This host's view of the fleet, and the gossip that keeps it fresh."""
+"""This host's view of the fleet, and the gossip that keeps it up to date."""
 
 import asyncio
 import time
@@ -30,17 +30,19 @@
 from wardstair.version.document import HostModel
 from wardstair.version.topology import Topology
 
-BEATS_A_REPORT = 2
-PAUSE_SECONDS = 2.0
-ROWS_PASSED_ON = 24
-BEAT_LISTENERS = 6
-FAR_PARTNERS = 2
-AGE_MOST_SECONDS = 86400.0
+HEARTBEATS_PER_REPORT = 2
+# A tick that is later than this shows that the process was paused.
+PAUSE_THRESHOLD_SECONDS = 2.0
+# Rows of other hosts that a heartbeat forwards.
+MAX_FORWARDED_ROWS = 24
+RECEIVERS_PER_HEARTBEAT = 6
+ZONES_PER_GOSSIP = 2
+MAX_AGE_SECONDS = 86400.0
 _MILLISECONDS = 1000
 
 
 class Fleet:
-    """Members of the zone, reports of other zones, and their gossip."""
+    """Hosts of this zone and reports of other zones, exchanged by gossip."""
 
     def __init__(
         self,
@@ -49,17 +51,17 @@
         links: PeerLinks,
         random: Random,
         free: Callable[[str], int],
-        beat_seconds: float,
+        heartbeat_seconds: float,
     ) -> None:
-        """Start alone.
+        """Start without other hosts.
 
         Args:
             me: This incarnation.
             zone: Zone of this host.
             links: Links to other hosts.
-            random: Source of the choice of partners.
-            free: Returns how many requests of a workload could start here.
-            beat_seconds: Seconds between heartbeats.
+            random: Source of the choice of gossip partners.
+            free: Returns how many requests of a workload this host could start.
+            heartbeat_seconds: Seconds between heartbeats.
         """
         self.members = MemberTable()
         self.zones = ZoneTable()
@@ -74,22 +76,22 @@
         self._links = links
         self._random = random
         self._free = free
-        self._beat_seconds = beat_seconds
+        self._heartbeat_seconds = heartbeat_seconds
         self._topology: Topology | None = None
-        self._beat = 0
-        self._probed: list[str] = []
-        self._probed_for: object = None
+        self._heartbeat_number = 0
+        self._assigned_upstreams: list[str] = []
+        self._assignment_inputs: object = None
         self._own_row = self.row()
         self._last_tick = time.monotonic()
         self._last_report = float('-inf')
 
     @property
     def is_relay(self) -> bool:
-        """Whether this host speaks for its zone now."""
+        """Whether this host is a relay of its zone now."""
         return self._me.name in self.relays()
 
     def adopt(self, topology: Topology) -> None:
-        """Take over the hosts of a new version, and tell the others."""
+        """Apply the hosts of a new version, and announce the version."""
         self._topology = topology
         self._links.keep(
             [
@@ -98,27 +100,27 @@
             ],
         )
         self.broadcast_heartbeat()
-        # Tell the other zones at once too: a restart of everything should
-        # not wait for the next report.
+        # The other zones are informed at once too: after a restart of the whole
+        # fleet, hosts should not have to wait for the next report.
         now = time.monotonic()
-        self._note_own_zone(now)
+        self._update_own_report(now)
         self._gossip(now)
 
     def relays(self) -> list[str]:
-        """Return the hosts that speak for the zone."""
+        """Return the hosts that gossip with other zones for this zone."""
         return rendezvous(self.live_names(), self._zone, RELAYS_A_ZONE)
 
     def probed_here(self, upstreams: list[str]) -> list[str]:
         """Return the upstreams that this host probes for the zone."""
-        wanted = (tuple(upstreams), tuple(self.live_names()))
-        if self._probed_for != wanted:
-            self._probed_for = wanted
-            self._probed = [
+        inputs = (tuple(upstreams), tuple(self.live_names()))
+        if self._assignment_inputs != inputs:
+            self._assignment_inputs = inputs
+            self._assigned_upstreams = [
                 upstream
                 for upstream in upstreams
-                if rendezvous(wanted[1], upstream, 1) == [self._me.name]
+                if rendezvous(inputs[1], upstream, 1) == [self._me.name]
             ]
-        return self._probed
+        return self._assigned_upstreams
 
     def live_names(self) -> list[str]:
         """Return the live hosts of the zone, this one included."""
@@ -140,94 +142,94 @@
         return None
 
     def row(self) -> HostRow:
-        """Return this host's own row, made anew for each heartbeat."""
+        """Build this host's current row for a heartbeat."""
         topology = self._topology
         return HostRow(
             self._me.name,
             self._me.incarnation,
-            self._beat,
+            self._heartbeat_number,
             0 if topology is None else topology.version,
-            round(min(self.config_age(), AGE_MOST_SECONDS), 1),
+            round(min(self.config_age(), MAX_AGE_SECONDS), 1),
             self.shares_version(),
             self.is_leaving,
-            self._free_row(),
+            self._free_by_workload(),
             self.moved(),
         )
 
     async def run(self) -> None:
-        """Tell heartbeats and reports until cancelled."""
+        """Send heartbeats and reports until cancelled."""
         while True:
             self.tick(time.monotonic())
-            await asyncio.sleep(self._beat_seconds)
+            await asyncio.sleep(self._heartbeat_seconds)
 
     def tick(self, now: float) -> None:
-        """Do what is due.
+        """Send the heartbeat, and the report if it is due.
 
         Args:
             now: Monotonic time in seconds.
         """
-        gap = now - self._last_tick - self._beat_seconds
+        gap = now - self._last_tick - self._heartbeat_seconds
         self._last_tick = now
-        if gap > PAUSE_SECONDS:
+        if gap > PAUSE_THRESHOLD_SECONDS:
             self.members.forgive_pause(gap)
-        self._tell_row(self._next_listeners())
-        self._note_own_zone(now)
-        report_seconds = BEATS_A_REPORT * self._beat_seconds
+        self._send_heartbeat(self._next_receivers())
+        self._update_own_report(now)
+        report_seconds = HEARTBEATS_PER_REPORT * self._heartbeat_seconds
         if now - self._last_report >= report_seconds:
             self._last_report = now
             self._gossip(now)
         self.on_update()
 
     def broadcast_heartbeat(self) -> None:
-        """Tell the whole zone this host's row now."""
-        self._tell_row([host.name for host in self._zone_peers()])
+        """Send this host's row to all hosts of the zone now."""
+        self._send_heartbeat([host.name for host in self._zone_peers()])
 
-    def _tell_row(self, names: list[str]) -> None:
-        self._beat += 1
-        heard = self.members.freshest(ROWS_PASSED_ON, time.monotonic())
+    def _send_heartbeat(self, names: list[str]) -> None:
+        self._heartbeat_number += 1
+        heard = self.members.freshest(MAX_FORWARDED_ROWS, time.monotonic())
         reports = self.take_reports()
         self._own_row = self.row()
         message = Heartbeat(self._own_row, tuple(heard), reports)
         self._links.broadcast(names, message)
 
-    def _next_listeners(self) -> list[str]:
-        """Return the peers that this beat goes to.
+    def _next_receivers(self) -> list[str]:
+        """Return the peers that receive this heartbeat.
 
-        Each peer has its turn; what it does not hear from this host it
-        hears from others, which pass on the freshest rows.
+        The peers take turns. Between its turns, a peer receives this host's
+        row from others, which forward the rows that they received last.
         """
         names = [host.name for host in self._zone_peers()]
-        if len(names) <= BEAT_LISTENERS:
+        if len(names) <= RECEIVERS_PER_HEARTBEAT:
             return names
-        start = self._beat * BEAT_LISTENERS % len(names)
-        return (names + names)[start : start + BEAT_LISTENERS]
+        start = self._heartbeat_number * RECEIVERS_PER_HEARTBEAT % len(names)
+        return (names + names)[start : start + RECEIVERS_PER_HEARTBEAT]
 
     def on_link(self, name: str) -> None:
-        """Tell a host that a new link leads to what it should know."""
+        """Send the known rows and reports to a host over a new link."""
         if name in self._zone_names():
-            heard = self.members.freshest(ROWS_PASSED_ON, time.monotonic())
+            heard = self.members.freshest(MAX_FORWARDED_ROWS, time.monotonic())
             self._links.send(name, Heartbeat(self._own_row, tuple(heard)))
         reports = self.zones.outgoing(time.monotonic())
         self._links.send(name, ZoneGossip(tuple(reports)))
 
     @property
     def generation(self) -> tuple[object, ...]:
-        """Changes whenever the hosts that look-ups may name change."""
+        """Value that changes with the set of hosts that look-ups may name."""
         now = time.monotonic()
-        near = tuple(
+        own_zone = tuple(
             (row.name, row.incarnation, row.leaving)
             for row in self.members.in_state(now, HostState.live)
         )
-        far = tuple(
+        other_zones = tuple(
             known.report.hosts_digest in self.zones.hosts
             and known.report.hosts_digest
             for known in self.zones.zones.values()
         )
         version = 0 if self._topology is None else self._topology.version
-        return (version, self.is_leaving, near, far)
+        return (version, self.is_leaving, own_zone, other_zones)
 
     def on_heartbeat(self, message: Heartbeat) -> list[HostRow]:
-        """Take in a heartbeat; return the rows that were news."""
+        """Process a heartbeat; return those of its rows that are new."""
         now = time.monotonic()
         rows = (message.row, *message.heard)
         return [
@@ -237,9 +239,13 @@
         ]
 
     def on_gossip(self, sender: str, message: ZoneGossip) -> None:
-        """Take in reports; a relay passes on what is news in its zone."""
+        """Process reports of zones.
+
+        New reports that a host of another zone sent are forwarded to all
+        hosts of this zone.
+        """
         now = time.monotonic()
-        news = [
+        new_reports = [
             report
             for report in message.reports
             if report.zone != self._zone and self.zones.apply(report, now)
@@ -247,26 +253,26 @@
         missing = self.zones.missing_hosts()
         if missing:
             self._links.send(sender, HostsAsk(tuple(missing)))
-        from_outside = sender not in self._zone_names()
-        if news and from_outside:
-            self._tell_zone(ZoneGossip(tuple(news)))
+        is_from_other_zone = sender not in self._zone_names()
+        if new_reports and is_from_other_zone:
+            self._broadcast_to_zone(ZoneGossip(tuple(new_reports)))
 
     def on_hosts_ask(self, sender: str, message: HostsAsk) -> None:
-        """Answer with the lists of hosts that are here."""
+        """Send the requested lists of hosts that this host has."""
         for digest in message.digests:
             hosts = self.zones.hosts.get(digest)
             if hosts is not None:
                 self._links.send(sender, HostsGive(hosts))
 
     def on_hosts_give(self, message: HostsGive) -> None:
-        """Take in a list of hosts."""
+        """Store a list of hosts."""
         self.zones.add_hosts(message.hosts)
 
     def ranking(self, _workload: str, region: str) -> list[RankedHost]:
         """Return the hosts that look-ups may name, best first.
 
-        Hosts of the region come first, then the others by the delay that
-        the configuration gives; hosts that leave or are drained are out.
+        Hosts of the region come first, then the others by the delay in the
+        configuration. Hosts that leave or are drained are not included.
         """
         topology = self._topology
         if topology is None:
@@ -276,7 +282,7 @@
             RankedHost(model, identity)
             for model in topology.hosts.values()
             if not topology.is_host_drained(model)
-            and (identity := self._usable(model)) is not None
+            and (identity := self._usable_identity(model)) is not None
         ]
         ranked.sort(
             key=lambda host: (
@@ -287,7 +293,7 @@
         return ranked
 
     def free_in_zone(self, zone: str, workload: str) -> int:
-        """Return how many requests another zone reported it could start."""
+        """Return how many requests a zone could start; 0 without a report."""
         topology = self._topology
         report = self.zones.report_of(zone, time.monotonic())
         if topology is None or report is None:
@@ -302,11 +308,11 @@
         return self.zones.age_of(zone, time.monotonic())
 
     def moved_in(self, zone: str, position: int) -> int | None:
-        """Return what a zone reported in flight by a shift, or None.
+        """Return the requests in flight of a shift in a zone, or None.
 
         Args:
-            zone: A zone of the shift's target.
-            position: Place of the shift among those to that region.
+            zone: A zone of the shift's target region.
+            position: Index of the shift among the shifts to that region.
         """
         report = self.zones.report_of(zone, time.monotonic())
         if report is None or position >= len(report.moved):
@@ -314,7 +320,7 @@
         return report.moved[position]
 
     def far_hosts(self, zone: str) -> list[HostModel]:
-        """Return the entry hosts of another zone that take work."""
+        """Return the entry hosts of another zone that accept requests."""
         topology = self._topology
         if topology is None:
             return []
@@ -328,24 +334,24 @@
         ]
 
     def lowest_versions(self) -> dict[str, tuple[int, float]]:
-        """Return the lowest version in force and its age, by zone."""
+        """Return the lowest version in force and the report's age, by zone."""
         now = time.monotonic()
         return {
             zone: (known.report.version, now - known.heard_at)
             for zone, known in self.zones.zones.items()
         }
 
-    def _usable(self, model: HostModel) -> Identity | None:
+    def _usable_identity(self, model: HostModel) -> Identity | None:
         if model.name == self._me.name:
             return None if self.is_leaving else self._me
         if model.zone == self._zone:
-            return self._usable_near(model.name)
+            return self._usable_in_zone(model.name)
         for host in self.zones.hosts_of(model.zone):
             if host.name == model.name and not host.leaving:
                 return Identity(host.name, host.incarnation)
         return None
 
-    def _usable_near(self, name: str) -> Identity | None:
+    def _usable_in_zone(self, name: str) -> Identity | None:
         now = time.monotonic()
         if self.members.state_of(name, now) is not HostState.live:
             return None
@@ -354,7 +360,7 @@
             return None
         return Identity(name, row.incarnation)
 
-    def _free_row(self) -> tuple[int, ...]:
+    def _free_by_workload(self) -> tuple[int, ...]:
         if self._topology is None:
             return ()
         return tuple(
@@ -374,7 +380,7 @@
     def _zone_names(self) -> set[str]:
         return {host.name for host in self._zone_peers()}
 
-    def _note_own_zone(self, now: float) -> None:
+    def _update_own_report(self, now: float) -> None:
         heard = self.members.in_state(
             now,
             HostState.live,
@@ -408,26 +414,27 @@
         if not self.is_relay or self._topology is None:
             return
         message = ZoneGossip(tuple(self.zones.outgoing(now)))
-        for host in self._partners():
+        for host in self._gossip_partners():
             if not self._links.send(host.name, message):
                 self._links.reach(PeerAddress(host.name, host.peers))
 
-    def _partners(self) -> list[HostModel]:
+    def _gossip_partners(self) -> list[HostModel]:
         assert self._topology is not None
         zones = [
             zone.name
             for zone in self._topology.document.zones
             if zone.name != self._zone
         ]
-        chosen = self._random.sample(zones, min(FAR_PARTNERS, len(zones)))
-        partners = [self._speaker(zone) for zone in chosen]
+        chosen = self._random.sample(zones, min(ZONES_PER_GOSSIP, len(zones)))
+        partners = [self._gossip_partner_in(zone) for zone in chosen]
         return [host for host in partners if host is not None]
 
-    def _speaker(self, zone: str) -> HostModel | None:
+    def _gossip_partner_in(self, zone: str) -> HostModel | None:
         """Return a host of another zone to gossip with.
 
-        Mostly one that its zone's hosts also choose as a relay; at times
-        any host, so that a wrong list of hosts cannot cut the zone off.
+        It is usually one of the relays that the zone's hosts choose too, and
+        sometimes any host, so that a wrong list of hosts cannot isolate the
+        zone.
         """
         assert self._topology is not None
         models = {host.name: host for host in self._topology.zone_hosts(zone)}
@@ -440,13 +447,13 @@
         relays = rendezvous(known, zone, RELAYS_A_ZONE)
         return models[self._random.choice(relays)]
 
-    def _tell_zone(self, message: ZoneGossip) -> None:
+    def _broadcast_to_zone(self, message: ZoneGossip) -> None:
         names = [host.name for host in self._zone_peers()]
         self._links.broadcast(names, message)
 
 
 def _summed(rows: Sequence[tuple[int, ...]]) -> tuple[int, ...]:
-    """Sum rows column by column; a host on another version may be short."""
+    """Sum rows by column; rows of hosts on other versions may be shorter."""
     return tuple(map(sum, zip_longest(*rows, fillvalue=0)))
 
 
--- a/src/wardstair/process/forecasts.py
+++ b/src/wardstair/process/forecasts.py
@@ -1,4 +1,4 @@
-"""Forecasts of orders from what this host knows of the fleet."""
+"""Forecasts of the effect of orders, based on reports of the fleet."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True)
 class OrderForecast:
-    """What an order would do.
+    """The expected effect of an order.
 
     Attributes:
-        lines: For people, one a workload and region.
-        is_safe: Whether the rest would carry it.
+        lines: Summary for operators, one line per workload and region.
+        is_safe: Whether the remaining slots can serve the load.
     """
 
     lines: list[str]
@@ -32,24 +32,24 @@
     action: Action,
     free: Callable[[str, str], int],
 ) -> OrderForecast:
-    """Forecast an order.
+    """Forecast the effect of an order.
 
     Args:
         topology: The version in force.
-        action: What is ordered.
-        free: Free slots of a zone for a workload, by zone and workload; 0
-            where no fresh report is known.
+        action: The action of the order.
+        free: Returns the free slots of a zone for a workload, given zone and
+            workload; 0 without a fresh report.
     """
     loads = {
         workload.name: [
-            _load(topology, zone, workload.name, free)
+            _zone_load(topology, zone, workload.name, free)
             for zone in topology.zone_regions
         ]
         for workload in topology.document.workloads
     }
     match action:
         case StartDrain(drain=drain):
-            forecasts = forecast_drain(loads, _taken(topology, drain))
+            forecasts = forecast_drain(loads, _drained_slots(topology, drain))
         case StartShift(shift=shift):
             forecasts = forecast_shift(
                 loads[shift.workload],
@@ -59,11 +59,11 @@
             )
         case _:
             forecasts = []
-    lines = [_line(one) for one in forecasts]
+    lines = [_summary_line(one) for one in forecasts]
     return OrderForecast(lines, all(one.is_safe for one in forecasts))
 
 
-def _load(
+def _zone_load(
     topology: Topology,
     zone: str,
     workload: str,
@@ -74,19 +74,19 @@
     return ZoneLoad(zone, topology.zone_regions[zone], slots, in_use)
 
 
-def _taken(
+def _drained_slots(
     topology: Topology,
     drain: DrainModel,
 ) -> dict[tuple[str, str], int]:
-    taken: dict[tuple[str, str], int] = {}
+    drained: dict[tuple[str, str], int] = {}
     for upstream in topology.upstreams.values():
-        if _is_in(topology, upstream, drain):
+        if _is_drained(topology, upstream, drain):
             place = (upstream.workload, upstream.zone)
-            taken[place] = taken.get(place, 0) + upstream.slots
-    return taken
+            drained[place] = drained.get(place, 0) + upstream.slots
+    return drained
 
 
-def _is_in(
+def _is_drained(
     topology: Topology,
     upstream: UpstreamModel,
     drain: DrainModel,
@@ -102,7 +102,7 @@
             return False
 
 
-def _line(one: Forecast) -> str:
+def _summary_line(one: Forecast) -> str:
     verdict = 'fits' if one.is_safe else 'DOES NOT FIT'
     return (
         f'{one.workload} in {one.region}: {one.needed} in use, '
--- a/src/wardstair/process/host.py
+++ b/src/wardstair/process/host.py
@@ -1,4 +1,4 @@
-"""The entry host: puts its tasks together and starts and stops them."""
+"""The entry host: creates its components, starts and stops its tasks."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 from wardstair.process.fleet import Fleet
 from wardstair.process.forecasts import OrderForecast, forecast_order
 from wardstair.process.journal import Journal, JournalEntry
-from wardstair.process.listeners import BODY_BYTES, HostPorts, Listeners
+from wardstair.process.listeners import MAX_BODY_BYTES, HostPorts, Listeners
 from wardstair.process.loans import Loans
 from wardstair.process.log import log_event
 from wardstair.process.messages import Hello
@@ -58,12 +58,13 @@
 from wardstair.version.topology import Topology
 
 IDLE_SWEEP_SECONDS = 1.0
+# Margin after the TTL of look-ups before a leaving host refuses requests.
 LEAVE_MARGIN_SECONDS = 2.0
-END_POLL_SECONDS = 0.05
-HOST_LIST_SECONDS = 10.0
-SEED_SECONDS = 0.5
+DRAIN_POLL_SECONDS = 0.05
+HOST_LIST_INTERVAL_SECONDS = 10.0
+SEED_RETRY_SECONDS = 0.5
 INCARNATION_BYTES = 4
-AGE_MOST_SECONDS = 1e6
+MAX_AGE_SECONDS = 1e6
 
 
 def new_incarnation() -> str:
@@ -76,11 +77,11 @@
     """One entry host of the fleet."""
 
     def __init__(self, settings: EntrySettings, random: Random) -> None:
-        """Put the host together; nothing is opened yet.
+        """Create the components of the host without opening any listener.
 
         Args:
-            settings: Checked settings.
-            random: Source of all randomness that need not be secret.
+            settings: Validated settings.
+            random: Source of randomness that need not be secret.
         """
         self.me = Identity(settings.host.name, new_incarnation())
         self.settings = settings
@@ -91,7 +92,7 @@
         self._inbox: asyncio.Queue[Received] = asyncio.Queue(4096)
         self._client = make_client(
             settings.limits.upstream_transfers,
-            BODY_BYTES,
+            MAX_BODY_BYTES,
         )
         self._platform = PlatformClient(
             settings.platform.url,
@@ -180,16 +181,16 @@
             self.fleet,
             self.pool,
         )
-        self._desk = OrderDesk(self._platform)
-        self._book: LookupBook | None = None
-        self._book_generation: object = None
+        self._order_desk = OrderDesk(self._platform)
+        self._lookup_book: LookupBook | None = None
+        self._lookup_generation: object = None
         self._callers = CallerServer(self, is_internal=False)
         self._forwarded = CallerServer(self, is_internal=True)
         self._listeners = Listeners(settings.limits)
         self._supervisor = Supervisor(self._count_task_failure)
         self._leaving_since: float | None = None
         self._refuses_new = False
-        self._connect()
+        self._connect_callbacks()
 
     @property
     def topology(self) -> Topology | None:
@@ -198,12 +199,12 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the host no longer takes new work of its own."""
+        """Whether the host refuses new requests."""
         return self._refuses_new
 
     @property
     def once_body_limit(self) -> int:
-        """Most bytes of a request that may not be repeated."""
+        """Maximum body size in bytes of a request that must not be repeated."""
         return self.settings.limits.once_body_bytes
 
     async def start(self) -> None:
@@ -236,21 +237,21 @@
             'prober': self.prober.run,
             'inbox': self._dispatcher.run,
             'sweep': self._sweep,
-            'host-list': self._follow_host_list,
-            'seeds': self._ask_seeds,
+            'host-list': self._poll_host_list,
+            'seeds': self._connect_to_seeds,
         }
         for name, work in tasks.items():
             self._supervisor.spawn(name, work)
 
     def cut_platform(self) -> None:
-        """Stop reaching the platform, as a cut link would; for trials."""
+        """Simulate a lost connection to the platform, for tests."""
         self._platform.cut()
 
     async def drain(self) -> float:
-        """Leave in order: no request is cut.
+        """Leave the fleet without interrupting any request.
 
         Returns:
-            Seconds from the order to the end of the last request.
+            Seconds from the start of the drain to the end of the last request.
         """
         if self._leaving_since is None:
             self._leaving_since = time.monotonic()
@@ -262,14 +263,14 @@
         await asyncio.sleep(self._lookup_ttl() + LEAVE_MARGIN_SECONDS)
         self._refuses_new = True
         while self.open_requests:  # noqa: ASYNC110
-            await asyncio.sleep(END_POLL_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
         seconds = time.monotonic() - started
         log_event('drained', host=self.me.name, seconds=round(seconds, 2))
         await self.capacity.transfer_all()
         return seconds
 
     async def stop(self) -> None:
-        """Close everything now."""
+        """Stop all tasks and close all connections immediately."""
         await self._supervisor.stop()
         await self.loans.stop()
         await self.prober.stop()
@@ -282,7 +283,7 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests of callers and other hosts that are open now."""
+        """Number of requests of callers and other hosts in progress."""
         callers = len(self._callers.open_requests)
         return callers + len(self._forwarded.open_requests)
 
@@ -291,14 +292,14 @@
         workload: str | None,
         address: str,
     ) -> bytes | Refusal:
-        """Answer a look-up."""
-        book = self._book
+        """Return the answer to a look-up, or why it is refused."""
+        book = self._lookup_book
         if book is None:
             return problem.stopping()
         query = book.parse(workload, address)
         if isinstance(query, Refusal):
             return query
-        age = min(self.configuration.age, AGE_MOST_SECONDS)
+        age = min(self.configuration.age, MAX_AGE_SECONDS)
         answer = book.answer(query, self.keeper.issue, age)
         if answer is None:
             return problem.no_upstream(query.workload, not_run=True)
@@ -306,21 +307,21 @@
         return answer
 
     def is_trusted_resolver(self, address: str) -> bool:
-        """Whether an address may ask on behalf of others."""
+        """Whether an address may look up on behalf of other callers."""
         return address in self.settings.trusted_resolvers
 
     def admit_outside(self, call: Call) -> Refusal | None:
-        """Refuse work while stopping, and outside traffic over its cap."""
+        """Refuse calls while stopping, and those over a cross-region cap."""
         if self._refuses_new:
             return problem.stopping()
         return self.cross_region.admit(call)
 
     def release_outside(self, call: Call) -> None:
-        """Note the end of a call that was let in."""
+        """Release the tokens of an admitted call that has ended."""
         self.cross_region.release(call)
 
     async def carry(self, call: Call, sink: AnswerSink) -> CallEnd:
-        """Carry a call to its end."""
+        """Execute a call until it ends."""
         return await self._calls.execute(call, sink)
 
     def note_end(self, call: Call, end: CallEnd, seconds: float) -> None:
@@ -332,7 +333,7 @@
         self._calls.note_refusal(workload, refusal)
 
     def status(self) -> dict[str, Any]:
-        """Return what is happening, as JSON values."""
+        """Return the current status of the host, as JSON values."""
         return {
             'leaving': self.fleet.is_leaving,
             'open_requests': self.open_requests,
@@ -359,7 +360,7 @@
         return self.topology.document.model_dump(mode='json')
 
     def explain(self, subject: str) -> JournalEntry | None:
-        """Return what is known of a subject."""
+        """Return the journal entry of a subject, or None."""
         return self.journal.find(subject)
 
     def render_metrics(self) -> bytes:
@@ -370,17 +371,21 @@
         self,
         order: Order,
     ) -> Result[OrderAnswer, list[Fault]]:
-        """Carry out an order and bring its version into force here."""
+        """Execute an order and put its version in force on this host.
+
+        An order whose forecast is not safe is refused, unless it is forced or
+        a dry run.
+        """
         forecast = self._forecast(order)
         if not (forecast.is_safe or order.force or order.dry_run):
-            hint = 'wait, choose less, or give the order with force'
+            hint = 'wait, reduce the order, or repeat it with force'
             return Err(
                 [
                     Fault('order', order.action.verb, line, hint)
                     for line in forecast.lines
                 ]
             )
-        answer = await self._desk.carry_out(order)
+        answer = await self._order_desk.carry_out(order)
         match answer:
             case Ok(done):
                 log_event(
@@ -402,10 +407,10 @@
         return forecast_order(self.topology, order.action, self._free_in)
 
     def _free_in(self, zone: str, workload: str) -> int:
-        # This zone's own report sums the rows of its hosts too.
+        # Covers this host's zone too, of which the fleet also keeps a report.
         return self.fleet.free_in_zone(zone, workload)
 
-    def _connect(self) -> None:
+    def _connect_callbacks(self) -> None:
         self.configuration.on_adopt = self._adopt
         self.configuration.is_watcher = lambda: self.fleet.is_relay
         self.fleet.on_update = self._render_lookups
@@ -441,10 +446,10 @@
             return
         shares = self.pacer.decide(topology)
         generation = (self.fleet.generation, shares)
-        if generation == self._book_generation:
+        if generation == self._lookup_generation:
             return
-        self._book_generation = generation
-        self._book = LookupBook(
+        self._lookup_generation = generation
+        self._lookup_book = LookupBook(
             topology,
             self.fleet.ranking,
             shares,
@@ -462,30 +467,33 @@
                 if exchange.is_idle(now):
                     exchange.give_up()
 
-    async def _follow_host_list(self) -> None:
+    async def _poll_host_list(self) -> None:
         while True:
-            await asyncio.sleep(HOST_LIST_SECONDS)
+            await asyncio.sleep(HOST_LIST_INTERVAL_SECONDS)
             if not self.fleet.is_relay:
                 continue
             listed = await self._platform.hosts()
             match listed:
                 case Ok(hosts):
-                    await self._bury(
+                    await self._reassign_tokens_of(
                         [host.name for host in hosts if host.state == 'gone']
                     )
                 case Err():
                     continue
             await self.capacity.rebalance()
 
-    async def _ask_seeds(self) -> None:
-        """Hear of a version from peers while the platform tells of none."""
+    async def _connect_to_seeds(self) -> None:
+        """Connect to seeds until a first version is in force.
+
+        The seeds send it if the platform cannot be reached.
+        """
         while not self.configuration.version:
             for address in self.settings.seeds:
                 self.links.reach(PeerAddress(address, address))
-            await asyncio.sleep(SEED_SECONDS)
+            await asyncio.sleep(SEED_RETRY_SECONDS)
         await asyncio.Event().wait()
 
-    async def _bury(self, names: Sequence[str]) -> None:
+    async def _reassign_tokens_of(self, names: Sequence[str]) -> None:
         for name in names:
             incarnation = self.fleet.incarnation_of(name)
             is_silent = name not in self.fleet.live_names()
@@ -507,7 +515,7 @@
 
 
 async def run_until_stopped(host: EntryHost, stop: asyncio.Event) -> None:
-    """Run a host until told to stop, then drain it."""
+    """Run a host until `stop` is set, then drain and stop it."""
     await host.start()
     await stop.wait()
     with contextlib.suppress(asyncio.CancelledError):
--- a/src/wardstair/process/journal.py
+++ b/src/wardstair/process/journal.py
@@ -1,22 +1,22 @@
-"""What the host did and why, in bounded memory."""
+"""Bounded journal of what the host did and why."""
 
 import time
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-ENTRIES = 5000
-REASONS_AN_ENTRY = 16
+MAX_ENTRIES = 5000
+MAX_STEPS_PER_ENTRY = 16
 
 
 @dataclass
 class JournalEntry:
-    """What was decided about one request, shift or upstream.
+    """The decisions about one request, shift or upstream.
 
     Attributes:
-        subject: The request's id or key, or the name of the thing.
-        at: Wall clock time in seconds.
-        version: Version of the configuration in force.
-        facts: What the decision rested on, by name.
+        subject: Id or key of the request, or name of the shift or upstream.
+        at: Wall clock time in seconds when the entry was opened.
+        version: Version of the configuration in force then.
+        facts: Inputs of the decisions, by name.
         steps: What was done, in order.
     """
 
@@ -27,34 +27,34 @@
     steps: list[str] = field(default_factory=list)
 
     def add_step(self, text: str) -> None:
-        """Note one more step unless there are very many."""
-        if len(self.steps) < REASONS_AN_ENTRY:
+        """Append a step; ignored once the entry is full."""
+        if len(self.steps) < MAX_STEPS_PER_ENTRY:
             self.steps.append(text)
 
 
 class Journal:
-    """The newest entries, by subject."""
+    """The latest entries, by subject."""
 
-    def __init__(self, entries: int = ENTRIES) -> None:
-        """Make an empty journal.
+    def __init__(self, entries: int = MAX_ENTRIES) -> None:
+        """Start with an empty journal.
 
         Args:
-            entries: Most entries kept; the oldest go first.
+            entries: Maximum number of entries; the oldest are dropped.
         """
-        self._most = entries
+        self._max_entries = entries
         self._entries: OrderedDict[str, JournalEntry] = OrderedDict()
 
     def open(self, subject: str, version: int) -> JournalEntry:
-        """Begin an entry, replacing an older one of the subject."""
+        """Open an entry, replacing an earlier one of the same subject."""
         entry = JournalEntry(subject, time.time(), version)
         self._entries[subject] = entry
         self._entries.move_to_end(subject)
-        while len(self._entries) > self._most:
+        while len(self._entries) > self._max_entries:
             self._entries.popitem(last=False)
         return entry
 
     def alias(self, name: str, entry: JournalEntry) -> None:
-        """Make an entry findable by another name too."""
+        """Make an entry available under a second name."""
         self._entries[name] = entry
 
     def find(self, subject: str) -> JournalEntry | None:
--- a/src/wardstair/process/listeners.py
+++ b/src/wardstair/process/listeners.py
@@ -1,4 +1,4 @@
-"""The HTTP listeners of an entry host, with TLS where it is set."""
+"""The HTTP listeners of an entry host, with TLS if configured."""
 
 import ssl
 from dataclasses import dataclass
@@ -13,14 +13,15 @@
     TlsSettings,
 )
 
-# Bodies stream; the routes bound what has to be held.
-BODY_BYTES = 1 << 50
+# Practically unlimited: bodies are streamed, and the routes limit the bytes
+# that are buffered.
+MAX_BODY_BYTES = 1 << 50
 CHUNK_BYTES = 65536
 
 
 @dataclass(frozen=True)
 class HostPorts:
-    """Ports that the listeners of a host got."""
+    """Ports on which the listeners of a host accept connections."""
 
     callers: int
     peers: int
@@ -29,13 +30,13 @@
 
 
 class Listeners:
-    """The listeners of one host; they are opened one by one."""
+    """The listeners of one host, opened individually."""
 
     def __init__(self, limits: LimitSettings) -> None:
         """Start without listeners.
 
         Args:
-            limits: What a caller may send, and how long it may take.
+            limits: Limits of the size and the duration of requests.
         """
         self._limits = limits
         self._servers: list[HTTPServer] = []
@@ -44,15 +45,16 @@
         """Open a listener.
 
         Args:
-            app: What answers.
-            listen: Where; port 0 lets the system choose.
+            app: Handles the requests.
+            listen: Address and TLS settings; with port 0 the system chooses
+                the port.
 
         Returns:
-            The port.
+            The port on which it listens.
         """
         server = HTTPServer(
             app,
-            max_body_size=BODY_BYTES,
+            max_body_size=MAX_BODY_BYTES,
             max_header_size=self._limits.header_bytes,
             idle_connection_timeout=self._limits.header_seconds,
             ssl_options=_tls_context(listen.tls),
@@ -65,7 +67,7 @@
         return int(sockets[0].getsockname()[1])
 
     def refuse_new(self) -> None:
-        """Take no further connections."""
+        """Stop accepting connections."""
         for server in self._servers:
             server.stop()
 
--- a/src/wardstair/process/loans.py
+++ b/src/wardstair/process/loans.py
@@ -1,4 +1,4 @@
-"""Loans of tokens between the hosts of a zone, without the platform."""
+"""Loans of tokens between the hosts of a zone, without platform calls."""
 
 import asyncio
 import itertools
@@ -28,15 +28,16 @@
 from wardstair.process.peers import PeerLinks, Received
 from wardstair.process.tokens import TokenBook
 
-ASK_SECONDS = 1.0
-ASK_AGAIN_SECONDS = 0.05
-PATIENT_LENDERS = 3
-QUESTION_SECONDS = 2.0
-QUESTIONS_KEPT = 1000
+REQUEST_TIMEOUT_SECONDS = 1.0
+NO_LENDER_RETRY_SECONDS = 0.05
+# Lenders at which a request waits at the same time until a token is released.
+MAX_PENDING_LENDERS = 3
+QUERY_INTERVAL_SECONDS = 2.0
+MAX_OPEN_QUERIES = 1000
 
 
 @dataclass(frozen=True)
-class _Answer:
+class _LoanAnswer:
     lender: Identity
     offer: LoanOffer | None
 
@@ -58,8 +59,8 @@
             me: This incarnation.
             book: The tokens of this host.
             links: Links to the zone's hosts.
-            fleet: Who is alive and has tokens to lend.
-            random: Source of the choice of lenders.
+            fleet: The live hosts and their free capacity.
+            random: Shuffles the lenders that have equal free capacity.
         """
         self.on_gain: Callable[[], None] = lambda: None
         self.demand: Callable[[str], int] = lambda workload: 0
@@ -68,24 +69,26 @@
         self._links = links
         self._fleet = fleet
         self._random = random
-        self._asks: dict[str, asyncio.Future[_Answer | None]] = {}
-        self._asked: dict[str, str] = {}
-        self._patient: dict[str, dict[str, PendingLoanRequest]] = {}
-        self._questions: dict[str, float] = {}
-        self._questioned: dict[tuple[Identity, str], float] = {}
-        self._holdings: dict[str, dict[Identity, tuple[Holding, ...]]] = {}
+        self._sent_requests: dict[str, asyncio.Future[_LoanAnswer | None]] = {}
+        self._requested_resources: dict[str, str] = {}
+        self._pending_requests: dict[str, dict[str, PendingLoanRequest]] = {}
+        self._open_queries: dict[str, float] = {}
+        self._last_queries: dict[tuple[Identity, str], float] = {}
+        self._reported_holdings: dict[
+            str, dict[Identity, tuple[Holding, ...]]
+        ] = {}
         self._borrowing: dict[str, asyncio.Task[None]] = {}
         self._numbers = itertools.count(1)
 
     async def stop(self) -> None:
-        """End the borrowing that is under way."""
+        """Cancel the borrowing that is in progress."""
         borrowing = list(self._borrowing.values())
         for task in borrowing:
             task.cancel()
         await asyncio.gather(*borrowing, return_exceptions=True)
 
     def start_borrowing(self, name: str) -> None:
-        """Borrow tokens of a resource in the background."""
+        """Borrow tokens in the background while requests wait for them."""
         if name in self._borrowing or name not in self._book.ledgers:
             return
         task = asyncio.ensure_future(self._borrow(name))
@@ -98,21 +101,21 @@
         self._links.send(loan.lender.name, message)
 
     def expire(self) -> None:
-        """Apply the passing of time to all ledgers."""
+        """End settling periods and loans whose time has passed."""
         now = time.monotonic()
         for name, ledger in self._book.ledgers.items():
             for loan in ledger.expire(now):
                 self.give_back(name, loan)
 
     def on_ask(self, sender: Identity, message: LoanAsk) -> None:
-        """Lend what is idle; a patient question waits for a release."""
+        """Lend idle tokens; a patient request waits until one is released."""
         offer = None
-        if not self._is_waited_for(message.resource):
+        if not self._has_demand(message.resource):
             offer = self._offer(sender, message.resource, message.wanted)
         if offer is None and message.is_patient:
-            asks = self._patient.setdefault(message.resource, {})
-            until = time.monotonic() + ASK_SECONDS
-            asks[sender.name] = PendingLoanRequest(
+            pending = self._pending_requests.setdefault(message.resource, {})
+            until = time.monotonic() + REQUEST_TIMEOUT_SECONDS
+            pending[sender.name] = PendingLoanRequest(
                 sender,
                 message.ask,
                 message.wanted,
@@ -123,33 +126,33 @@
         self._links.send(sender.name, answer)
 
     def on_release(self, name: str) -> None:
-        """Give a token that came free to a longer queue elsewhere."""
-        asks = self._patient.get(name)
-        if not asks or name not in self._book.resources:
+        """Lend a released token to the host with a longer queue, if any."""
+        pending = self._pending_requests.get(name)
+        if not pending or name not in self._book.resources:
             return
         now = time.monotonic()
-        own = self.demand(self._book.resources[name].workload)
-        chosen = choose_loan_request(asks.values(), own, now)
+        own_demand = self.demand(self._book.resources[name].workload)
+        chosen = choose_loan_request(pending.values(), own_demand, now)
         if chosen is None:
             return
         offer = self._offer(chosen.borrower, name, 1)
         if offer is None:
             return
-        asks.pop(chosen.borrower.name)
+        pending.pop(chosen.borrower.name)
         answer = LoanGive(chosen.ask, name, offer)
         self._links.send(chosen.borrower.name, answer)
 
     def on_give(self, received: Received, message: LoanGive) -> None:
-        """Take the answer to a question of ours, once."""
-        self._asked.pop(message.ask, None)
-        waiting = self._asks.pop(message.ask, None)
+        """Accept the answer to an open loan request, or return its offer."""
+        self._requested_resources.pop(message.ask, None)
+        waiting = self._sent_requests.pop(message.ask, None)
         if waiting is None or waiting.done():
             self._decline(received.sender, message)
             return
-        waiting.set_result(_Answer(received.sender, message.offer))
+        waiting.set_result(_LoanAnswer(received.sender, message.offer))
 
     def on_back(self, message: LoanBack) -> None:
-        """Take returned tokens back."""
+        """Reclaim tokens that a borrower returns."""
         ledger = self._book.ledgers.get(message.resource)
         if ledger is not None:
             ledger.reclaim(message.loan, message.tokens)
@@ -157,26 +160,29 @@
             self.on_gain()
 
     def query_holdings(self) -> None:
-        """Ask the zone who still uses tokens that no time brings back."""
+        """Query the hosts that may hold tokens which no expiry reclaims."""
         others = self._book.registered - {self._me}
         now = time.monotonic()
         for name, ledger in self._book.ledgers.items():
-            doubtful = ledger.borrowers_to_query(now)
+            hosts_to_query = ledger.borrowers_to_query(now)
             if ledger.unresolved:
-                doubtful |= others - self._holdings.get(name, {}).keys()
-            for other in doubtful:
-                self._ask_holdings_of(other, name)
+                hosts_to_query |= (
+                    others - self._reported_holdings.get(name, {}).keys()
+                )
+            for other in hosts_to_query:
+                self._query_holdings_of(other, name)
             if ledger.unresolved:
                 self._resolve(name, ledger, others)
 
     def on_holdings_ask(self, sender: str, message: HoldingsAsk) -> None:
-        """Say what is held here, after giving up open questions.
+        """Report the tokens held here, after withdrawing open loan requests.
 
-        An offer of the earlier owner may still be on its way: with the
-        question withdrawn it will be declined, so the answer stays true.
+        An offer of the earlier owner may still be in transit. Because the
+        request is withdrawn, the offer will be declined and the report remains
+        correct.
         """
         ledger = self._book.ledgers.get(message.resource)
-        for ask, resource in list(self._asked.items()):
+        for ask, resource in list(self._requested_resources.items()):
             if resource == message.resource:
                 self._withdraw(ask)
         holdings = () if ledger is None else ledger.holdings()
@@ -188,20 +194,20 @@
         sender: Identity,
         message: HoldingsGive,
     ) -> None:
-        """Note what a host of the zone holds."""
-        asked_at = self._questions.pop(message.ask, None)
+        """Process a host's report of the tokens that it holds."""
+        queried_at = self._open_queries.pop(message.ask, None)
         ledger = self._book.ledgers.get(message.resource)
-        if asked_at is None or ledger is None:
+        if queried_at is None or ledger is None:
             return
-        ledger.reconcile(sender, message.holdings, asked_at)
+        ledger.reconcile(sender, message.holdings, queried_at)
         if ledger.unresolved:
-            answers = self._holdings.setdefault(message.resource, {})
+            answers = self._reported_holdings.setdefault(message.resource, {})
             answers[sender] = message.holdings
             self.query_holdings()
         self.on_gain()
 
     def on_new_incarnation(self, row: HostRow, previous: str) -> None:
-        """Reclaim what the previous incarnation of a host had borrowed."""
+        """Reclaim the tokens that a host's previous incarnation borrowed."""
         now = time.monotonic()
         dead = Identity(row.name, previous)
         for name, ledger in self._book.ledgers.items():
@@ -209,7 +215,7 @@
             ledger.forget_borrower(dead, now, settle)
 
     def return_all(self) -> None:
-        """Give all unused loans back, as a host that leaves does."""
+        """Return all unused loans before this host leaves."""
         for name, ledger in self._book.ledgers.items():
             for loan in ledger.return_idle_loans():
                 self.give_back(name, loan)
@@ -230,42 +236,44 @@
         while name in self._book.ledgers and not self._book.is_fenced:
             lenders = self._lenders(name)
             has_gained = await self._borrow_idle(name, lenders)
-            if not self._is_waited_for(name):
+            if not self._has_demand(name):
                 return
             if has_gained:
                 continue
-            patient = [
-                self._ask(peer, name, is_patient=True)
-                for peer in lenders[:PATIENT_LENDERS]
+            requests = [
+                self._request_loan(peer, name, is_patient=True)
+                for peer in lenders[:MAX_PENDING_LENDERS]
             ]
-            if not patient:
-                await asyncio.sleep(ASK_AGAIN_SECONDS)
-            for answered in asyncio.as_completed(patient):
+            if not requests:
+                await asyncio.sleep(NO_LENDER_RETRY_SECONDS)
+            for answered in asyncio.as_completed(requests):
                 if await answered:
                     self.on_gain()
 
     async def _borrow_idle(self, name: str, lenders: list[str]) -> bool:
         for peer in lenders:
-            if await self._ask(peer, name, is_patient=False):
+            if await self._request_loan(peer, name, is_patient=False):
                 self.on_gain()
                 return True
         return False
 
-    async def _ask(self, peer: str, name: str, *, is_patient: bool) -> bool:
+    async def _request_loan(
+        self, peer: str, name: str, *, is_patient: bool
+    ) -> bool:
         workload = self._book.resources[name].workload
         ask = f'{self._me.incarnation}-{next(self._numbers)}'
-        waiting: asyncio.Future[_Answer | None] = (
+        waiting: asyncio.Future[_LoanAnswer | None] = (
             asyncio.get_running_loop().create_future()
         )
-        self._asks[ask] = waiting
-        self._asked[ask] = name
-        asked_at = time.monotonic()
+        self._sent_requests[ask] = waiting
+        self._requested_resources[ask] = name
+        requested_at = time.monotonic()
         wanted = max(self.demand(workload), 1)
         if not self._links.send(peer, LoanAsk(ask, name, wanted, is_patient)):
             self._withdraw(ask)
             return False
         try:
-            async with asyncio.timeout(ASK_SECONDS):
+            async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
                 answer = await waiting
         except TimeoutError:
             self._withdraw(ask)
@@ -275,20 +283,20 @@
             return False
         if answer.offer is None:
             return False
-        ledger.accept(answer.lender, answer.offer, asked_at)
+        ledger.accept(answer.lender, answer.offer, requested_at)
         return True
 
-    def _ask_holdings_of(self, other: Identity, name: str) -> None:
+    def _query_holdings_of(self, other: Identity, name: str) -> None:
         now = time.monotonic()
-        last = self._questioned.get((other, name), float('-inf'))
-        if now - last < QUESTION_SECONDS:
+        last = self._last_queries.get((other, name), float('-inf'))
+        if now - last < QUERY_INTERVAL_SECONDS:
             return
         ask = f'{self._me.incarnation}-{next(self._numbers)}'
-        self._questions[ask] = now
-        while len(self._questions) > QUESTIONS_KEPT:
-            self._questions.pop(next(iter(self._questions)))
+        self._open_queries[ask] = now
+        while len(self._open_queries) > MAX_OPEN_QUERIES:
+            self._open_queries.pop(next(iter(self._open_queries)))
         if self._links.send(other.name, HoldingsAsk(ask, name)):
-            self._questioned[other, name] = now
+            self._last_queries[other, name] = now
 
     def _resolve(
         self,
@@ -296,23 +304,23 @@
         ledger: Ledger,
         others: frozenset[Identity],
     ) -> None:
-        answers = self._holdings.get(name, {})
+        answers = self._reported_holdings.get(name, {})
         if others - answers.keys():
             return
         held = {other: answers[other] for other in others}
         now = time.monotonic()
         ledger.resolve(held, now, self._book.resources[name].cut_seconds)
-        self._holdings.pop(name, None)
+        self._reported_holdings.pop(name, None)
 
     def _withdraw(self, ask: str) -> None:
-        self._asked.pop(ask, None)
-        waiting = self._asks.pop(ask, None)
+        self._requested_resources.pop(ask, None)
+        waiting = self._sent_requests.pop(ask, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(None)
 
     def _decline(self, lender: Identity, message: LoanGive) -> None:
-        # An offer that comes too late, or twice: its tokens go back unused
-        # unless the same loan is in use here.
+        # A late or duplicate offer: its tokens are returned unused, unless the
+        # same loan is in use here.
         ledger = self._book.ledgers.get(message.resource)
         if message.offer is None or ledger is None:
             return
@@ -330,6 +338,6 @@
         free = {row.name: sum(row.free) for row in rows}
         return sorted(names, key=lambda peer: -free[peer])
 
-    def _is_waited_for(self, name: str) -> bool:
+    def _has_demand(self, name: str) -> bool:
         resource = self._book.resources.get(name)
         return resource is not None and self.demand(resource.workload) > 0
