--- a/src/wardstair/process/fleet.py
+++ b/src/wardstair/process/fleet.py
@@ -186,10 +186,10 @@
 
     def _send_heartbeat(self, names: list[str]) -> None:
         self._heartbeat_number += 1
-        heard = self.members.freshest(MAX_FORWARDED_ROWS, time.monotonic())
+        forwarded = self.members.freshest(MAX_FORWARDED_ROWS, time.monotonic())
         reports = self.take_reports()
         self._own_row = self.row()
-        message = Heartbeat(self._own_row, tuple(heard), reports)
+        message = Heartbeat(self._own_row, tuple(forwarded), reports)
         self._links.broadcast(names, message)
 
     def _next_receivers(self) -> list[str]:
@@ -207,8 +207,10 @@
     def on_link(self, name: str) -> None:
         """Send the known rows and reports to a host over a new link."""
         if name in self._zone_names():
-            heard = self.members.freshest(MAX_FORWARDED_ROWS, time.monotonic())
-            self._links.send(name, Heartbeat(self._own_row, tuple(heard)))
+            forwarded = self.members.freshest(
+                MAX_FORWARDED_ROWS, time.monotonic()
+            )
+            self._links.send(name, Heartbeat(self._own_row, tuple(forwarded)))
         reports = self.zones.outgoing(time.monotonic())
         self._links.send(name, ZoneGossip(tuple(reports)))
 
@@ -381,12 +383,12 @@
         return {host.name for host in self._zone_peers()}
 
     def _update_own_report(self, now: float) -> None:
-        heard = self.members.in_state(
+        peer_rows = self.members.in_state(
             now,
             HostState.live,
             HostState.suspect,
         )
-        rows = [*heard, self._own_row]
+        rows = [*peer_rows, self._own_row]
         live = set(self.live_names())
         hosts = tuple(
             sorted(
--- a/src/wardstair/process/host.py
+++ b/src/wardstair/process/host.py
@@ -475,7 +475,7 @@
             listed = await self._platform.hosts()
             match listed:
                 case Ok(hosts):
-                    await self._reassign_tokens_of(
+                    await self._reassign_tokens_of_gone(
                         [host.name for host in hosts if host.state == 'gone']
                     )
                 case Err():
@@ -493,7 +493,7 @@
             await asyncio.sleep(SEED_RETRY_SECONDS)
         await asyncio.Event().wait()
 
-    async def _reassign_tokens_of(self, names: Sequence[str]) -> None:
+    async def _reassign_tokens_of_gone(self, names: Sequence[str]) -> None:
         for name in names:
             incarnation = self.fleet.incarnation_of(name)
             is_silent = name not in self.fleet.live_names()
--- a/src/wardstair/process/loans.py
+++ b/src/wardstair/process/loans.py
@@ -182,9 +182,9 @@
         correct.
         """
         ledger = self._book.ledgers.get(message.resource)
-        for ask, resource in list(self._requested_resources.items()):
+        for request_id, resource in list(self._requested_resources.items()):
             if resource == message.resource:
-                self._withdraw(ask)
+                self._withdraw(request_id)
         holdings = () if ledger is None else ledger.holdings()
         answer = HoldingsGive(message.ask, message.resource, holdings)
         self._links.send(sender, answer)
@@ -261,22 +261,24 @@
         self, peer: str, name: str, *, is_patient: bool
     ) -> bool:
         workload = self._book.resources[name].workload
-        ask = f'{self._me.incarnation}-{next(self._numbers)}'
+        request_id = f'{self._me.incarnation}-{next(self._numbers)}'
         waiting: asyncio.Future[_LoanAnswer | None] = (
             asyncio.get_running_loop().create_future()
         )
-        self._sent_requests[ask] = waiting
-        self._requested_resources[ask] = name
+        self._sent_requests[request_id] = waiting
+        self._requested_resources[request_id] = name
         requested_at = time.monotonic()
         wanted = max(self.demand(workload), 1)
-        if not self._links.send(peer, LoanAsk(ask, name, wanted, is_patient)):
-            self._withdraw(ask)
+        if not self._links.send(
+            peer, LoanAsk(request_id, name, wanted, is_patient)
+        ):
+            self._withdraw(request_id)
             return False
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
                 answer = await waiting
         except TimeoutError:
-            self._withdraw(ask)
+            self._withdraw(request_id)
             return False
         ledger = self._book.ledgers.get(name)
         if answer is None or ledger is None:
@@ -291,11 +293,11 @@
         last = self._last_queries.get((other, name), float('-inf'))
         if now - last < QUERY_INTERVAL_SECONDS:
             return
-        ask = f'{self._me.incarnation}-{next(self._numbers)}'
-        self._open_queries[ask] = now
+        query_id = f'{self._me.incarnation}-{next(self._numbers)}'
+        self._open_queries[query_id] = now
         while len(self._open_queries) > MAX_OPEN_QUERIES:
             self._open_queries.pop(next(iter(self._open_queries)))
-        if self._links.send(other.name, HoldingsAsk(ask, name)):
+        if self._links.send(other.name, HoldingsAsk(query_id, name)):
             self._last_queries[other, name] = now
 
     def _resolve(
@@ -312,9 +314,9 @@
         ledger.resolve(held, now, self._book.resources[name].cut_seconds)
         self._reported_holdings.pop(name, None)
 
-    def _withdraw(self, ask: str) -> None:
-        self._requested_resources.pop(ask, None)
-        waiting = self._sent_requests.pop(ask, None)
+    def _withdraw(self, request_id: str) -> None:
+        self._requested_resources.pop(request_id, None)
+        waiting = self._sent_requests.pop(request_id, None)
         if waiting is not None and not waiting.done():
             waiting.set_result(None)
 
