--- a/src/wardstair/process/dispatch.py
+++ b/src/wardstair/process/dispatch.py
@@ -1,4 +1,4 @@
-"""Hands each message of another entry host to the task it is for."""
+"""Dispatches messages of other entry hosts to their handlers."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class Dispatcher:
-    """Reads the inbox of the links."""
+    """Reads the inbox of the links and calls the handler of each message."""
 
     def __init__(
         self,
@@ -37,18 +37,18 @@
         capacity: Capacity,
         loans: Loans,
         prober: Prober,
-        on_news: Callable[[], None],
+        on_update: Callable[[], None],
     ) -> None:
-        """Name the receivers.
+        """Set the handlers.
 
         Args:
             inbox: Messages with their senders.
-            fleet: Takes heartbeats and reports.
-            configuration: Takes heads and parts.
-            capacity: Hears of versions of the shares.
-            loans: Takes loans and holdings.
-            prober: Takes reports of upstreams.
-            on_news: Called after each heartbeat.
+            fleet: Handles heartbeats and reports of zones.
+            configuration: Handles heads and parts.
+            capacity: Handles versions of the shares.
+            loans: Handles loans and holdings.
+            prober: Handles reports of upstreams.
+            on_update: Called after each heartbeat.
         """
         self._inbox = inbox
         self._fleet = fleet
@@ -56,7 +56,7 @@
         self._capacity = capacity
         self._loans = loans
         self._prober = prober
-        self._on_news = on_news
+        self._on_update = on_update
 
     async def run(self) -> None:
         """Handle messages until cancelled."""
@@ -112,7 +112,9 @@
             case ZoneGossip() as gossip:
                 self._fleet.on_gossip(sender, gossip)
                 for report in gossip.reports:
-                    self._configuration.hear(sender, report.version)
+                    self._configuration.note_peer_version(
+                        sender, report.version
+                    )
             case HostsAsk() as ask:
                 self._fleet.on_hosts_ask(sender, ask)
             case HostsGive() as give:
@@ -128,8 +130,8 @@
             if previous < row.incarnation:
                 self._loans.on_new_incarnation(row, previous)
             self._configuration.confirm(row.version, row.config_age)
-            self._capacity.hear(row.shares)
+            self._capacity.note_peer_version(row.shares)
         for report in heartbeat.reports:
             self._prober.note(report)
-        self._on_news()
-        self._configuration.hear(sender, heartbeat.row.version)
+        self._on_update()
+        self._configuration.note_peer_version(sender, heartbeat.row.version)
