--- a/src/wardstair/gateway/program.py
+++ b/src/wardstair/gateway/program.py
@@ -13,7 +13,7 @@
 from wardstair.gateway.host import GatewayHost
 from wardstair.gateway.settings import GatewaySettings
 from wardstair.platform.settings import load_settings
-from wardstair.process.log import log_event, log_to_output, log_warning
+from wardstair.process.log import log_event, log_to_stdout, log_warning
 from wardstair.process.sink import LineSink
 
 SETTINGS_VARIABLE = 'WARDSTAIR_CONFIG'
@@ -47,7 +47,7 @@
     except ConfigurationError as error:
         sys.stderr.write(f'{error}\n')
         sys.exit(2)
-    sink = log_to_output(settings.name)
+    sink = log_to_stdout(settings.name)
     asyncio.run(_run(settings, SettingsFile(path, stamp), sink))
 
 
--- a/src/wardstair/process/capacity.py
+++ b/src/wardstair/process/capacity.py
@@ -243,7 +243,7 @@
         wanted = self._fitted(change(shares))
         if stored is not None and wanted == shares:
             return Ok(stored)
-        return await self._platform.write_surely(
+        return await self._platform.write_with_read_back(
             SHARES_KIND,
             self._zone,
             shares_as_json(wanted),
--- a/src/wardstair/process/fleet.py
+++ b/src/wardstair/process/fleet.py
@@ -91,7 +91,7 @@
     def adopt(self, topology: Topology) -> None:
         """Take over the hosts of a new version, and tell the others."""
         self._topology = topology
-        self._links.keep(
+        self._links.keep_linked(
             [
                 PeerAddress(host.name, host.peers)
                 for host in topology.zone_hosts(self._zone)
@@ -410,7 +410,7 @@
         message = ZoneGossip(tuple(self.zones.outgoing(now)))
         for host in self._partners():
             if not self._links.send(host.name, message):
-                self._links.reach(PeerAddress(host.name, host.peers))
+                self._links.open_link(PeerAddress(host.name, host.peers))
 
     def _partners(self) -> list[HostModel]:
         assert self._topology is not None
--- a/src/wardstair/process/host.py
+++ b/src/wardstair/process/host.py
@@ -29,7 +29,7 @@
 from wardstair.process.messages import Hello
 from wardstair.process.metrics import Metrics
 from wardstair.process.operators import operator_application
-from wardstair.process.orders import Order, OrderAnswer, OrderDesk
+from wardstair.process.orders import Order, OrderAnswer, OrderExecutor
 from wardstair.process.peers import PeerAddress, PeerLinks, Received
 from wardstair.process.placement import Placement
 from wardstair.process.platform import PlatformClient
@@ -180,7 +180,7 @@
             self.fleet,
             self.pool,
         )
-        self._desk = OrderDesk(self._platform)
+        self._desk = OrderExecutor(self._platform)
         self._book: LookupBook | None = None
         self._book_generation: object = None
         self._callers = CallerServer(self, is_internal=False)
@@ -380,7 +380,7 @@
                     for line in forecast.lines
                 ]
             )
-        answer = await self._desk.carry_out(order)
+        answer = await self._desk.execute(order)
         match answer:
             case Ok(done):
                 log_event(
@@ -413,8 +413,8 @@
         self.fleet.shares_version = lambda: self.capacity.shares_version
         self.fleet.moved = self.outside.moved
         self.fleet.take_reports = self.prober.take_reports
-        self.prober.on_urgent = self.fleet.beat
-        self.prober.choose_mine = self.fleet.probed_here
+        self.prober.on_leaving_upstream = self.fleet.beat
+        self.prober.select_assigned = self.fleet.probed_here
         self.links.on_link = self.fleet.on_link
         self.capacity.on_gain = self.pool.serve_waiting
         self.loans.on_gain = self.pool.serve_waiting
@@ -426,7 +426,7 @@
 
     def _adopt(self, topology: Topology) -> None:
         zone = self.settings.host.zone
-        self.links.name_deployment(topology.document.deployment)
+        self.links.set_deployment(topology.document.deployment)
         self.capacity.adopt(topology, zone_resources(topology, zone))
         self.pool.adopt(topology, zone, self.capacity.ledgers)
         region = self.settings.host.region
@@ -481,7 +481,7 @@
         """Hear of a version from peers while the platform tells of none."""
         while not self.configuration.version:
             for address in self.settings.seeds:
-                self.links.reach(PeerAddress(address, address))
+                self.links.open_link(PeerAddress(address, address))
             await asyncio.sleep(SEED_SECONDS)
         await asyncio.Event().wait()
 
--- a/src/wardstair/process/log.py
+++ b/src/wardstair/process/log.py
@@ -19,7 +19,7 @@
     )
 
 
-def log_to_output(process: str, level: str = 'INFO') -> LineSink:
+def log_to_stdout(process: str, level: str = 'INFO') -> LineSink:
     """Send events to standard output, one line each, without waiting for it.
 
     Args:
--- a/src/wardstair/process/messages.py
+++ b/src/wardstair/process/messages.py
@@ -20,7 +20,7 @@
     ZoneReport,
 )
 
-MESSAGE_BYTES = 4194304
+MAX_MESSAGE_BYTES = 4194304
 DEFLATE_FROM_BYTES = 256
 DEFLATE_LEVEL = 1
 # A CBOR map never begins with this byte.
@@ -203,4 +203,4 @@
     if not raw.startswith(DEFLATED):
         return raw
     # Bounded, so that a small message cannot unpack to a huge one.
-    return zlib.decompressobj().decompress(raw[1:], MESSAGE_BYTES)
+    return zlib.decompressobj().decompress(raw[1:], MAX_MESSAGE_BYTES)
--- a/src/wardstair/process/orders.py
+++ b/src/wardstair/process/orders.py
@@ -143,7 +143,7 @@
     document: SteeringDocument
 
 
-class OrderDesk:
+class OrderExecutor:
     """Turns orders into versions, through the platform."""
 
     def __init__(self, platform: PlatformClient) -> None:
@@ -154,7 +154,7 @@
         """
         self._platform = platform
 
-    async def carry_out(
+    async def execute(
         self,
         order: Order,
     ) -> Result[OrderAnswer, list[Fault]]:
@@ -257,7 +257,7 @@
                     continue
                 case Err(error):
                     return _platform_fault(error)
-        written = await self._platform.write_surely(
+        written = await self._platform.write_with_read_back(
             HEAD_KIND,
             HEAD_NAME,
             package.head.as_json(),
@@ -376,13 +376,17 @@
     document: SteeringDocument,
     current: _Current | None,
 ) -> Result[Package, list[Fault]]:
-    faults = [] if current is None else moved_caps(current.document, document)
+    faults = (
+        []
+        if current is None
+        else find_changed_targets(current.document, document)
+    )
     if faults:
         return Err(faults)
     return Ok(pack(document, order.key, order.operator))
 
 
-def moved_caps(
+def find_changed_targets(
     before: SteeringDocument,
     after: SteeringDocument,
 ) -> list[Fault]:
--- a/src/wardstair/process/peers.py
+++ b/src/wardstair/process/peers.py
@@ -22,7 +22,7 @@
 from wardstair.decisions.ledger import Identity
 from wardstair.process.log import log_warning
 from wardstair.process.messages import (
-    MESSAGE_BYTES,
+    MAX_MESSAGE_BYTES,
     Hello,
     PeerMessage,
     decode,
@@ -102,7 +102,7 @@
             address,
             port,
             compression=None,
-            max_size=MESSAGE_BYTES,
+            max_size=MAX_MESSAGE_BYTES,
             ping_interval=PING_SECONDS,
             ping_timeout=PING_SECONDS,
         )
@@ -119,11 +119,11 @@
             self._server.close()
             await self._server.wait_closed()
 
-    def name_deployment(self, deployment: str) -> None:
+    def set_deployment(self, deployment: str) -> None:
         """Introduce this host with the name of its deployment from now."""
         self._hello = replace(self._hello, deployment=deployment)
 
-    def keep(self, peers: list[PeerAddress]) -> None:
+    def keep_linked(self, peers: list[PeerAddress]) -> None:
         """Keep links to these hosts and redial them when they break."""
         self._wanted = {
             peer.name: peer.address
@@ -134,13 +134,13 @@
             if name not in self._dialling:
                 self._dial_in_background(name, self._keep_dialling(name))
 
-    def reach(self, peer: PeerAddress) -> None:
+    def open_link(self, peer: PeerAddress) -> None:
         """Open a link to a host if there is none; it closes when idle."""
         if peer.name in self._links or peer.name in self._dialling:
             return
         self._dial_in_background(peer.name, self._dial_once(peer.address))
 
-    def refuse(self, name: str) -> None:
+    def block(self, name: str) -> None:
         """Have no link to a host from now, as if it were cut; for trials."""
         self._refused.add(name)
         link = self._links.pop(name, None)
@@ -194,7 +194,7 @@
             connection = await connect(
                 f'ws://{address}',
                 compression=None,
-                max_size=MESSAGE_BYTES,
+                max_size=MAX_MESSAGE_BYTES,
                 open_timeout=DIAL_SECONDS,
                 ping_interval=PING_SECONDS,
                 ping_timeout=PING_SECONDS,
--- a/src/wardstair/process/placement.py
+++ b/src/wardstair/process/placement.py
@@ -60,7 +60,7 @@
         self._topology = topology
         self._kept = {}
 
-    def prefers_elsewhere(self, call: Call) -> HostModel | None:
+    def preferred_remote_host(self, call: Call) -> HostModel | None:
         """Return a host of another zone if the policy draws one.
 
         Asked before the zone's own slots are tried; None means to try them.
--- a/src/wardstair/process/platform.py
+++ b/src/wardstair/process/platform.py
@@ -169,7 +169,7 @@
         answer = await self._call('PUT', path, body)
         return answer.map(_stored)
 
-    async def write_surely(
+    async def write_with_read_back(
         self,
         kind: str,
         name: str,
--- a/src/wardstair/process/probing.py
+++ b/src/wardstair/process/probing.py
@@ -30,8 +30,8 @@
             client: The process's curl client.
             pool: Told what the probes find.
         """
-        self.choose_mine: Callable[[list[str]], list[str]] = list
-        self.on_urgent: Callable[[], None] = lambda: None
+        self.select_assigned: Callable[[list[str]], list[str]] = list
+        self.on_leaving_upstream: Callable[[], None] = lambda: None
         self._client = client
         self._pool = pool
         self._untold: dict[str, UpstreamReport] = {}
@@ -40,7 +40,7 @@
     async def run(self) -> None:
         """Probe until cancelled."""
         while True:
-            mine = self.choose_mine(list(self._pool.views))
+            mine = self.select_assigned(list(self._pool.views))
             names = [name for name in mine if name in self._pool.views]
             names += self._ejected(names)
             pause = PROBE_SECONDS / max(len(names), 1)
@@ -71,7 +71,7 @@
         self.note(report)
         if report.is_leaving:
             # New work must stop within seconds on every host of the zone.
-            self.on_urgent()
+            self.on_leaving_upstream()
         if not view.health.may_serve(time.monotonic()):
             self._pool.forget_failures(name)
 
--- a/src/wardstair/request/forwarding.py
+++ b/src/wardstair/request/forwarding.py
@@ -86,7 +86,7 @@
 class RemoteFinder(Protocol):
     """Finds entry hosts of other zones."""
 
-    def prefers_elsewhere(self, call: Call) -> HostModel | None:
+    def preferred_remote_host(self, call: Call) -> HostModel | None:
         """Return a host if the policy draws another zone than this one."""
 
     def find(self, call: Call, tried: frozenset[str]) -> HostModel | None:
@@ -199,7 +199,7 @@
             frozenset(progress.tried),
         )
         if not call.is_relayed and not progress.attempts:
-            preferred = self._finder.prefers_elsewhere(call)
+            preferred = self._finder.preferred_remote_host(call)
             if preferred is not None:
                 return RemotePlace(preferred)
         held = self._pool.take(wish)
--- a/src/wardstair/request/once.py
+++ b/src/wardstair/request/once.py
@@ -209,7 +209,7 @@
             'incarnation': self._me.incarnation,
             'made': int(self.clock.now()),
         }
-        written = await self._platform.write_surely(
+        written = await self._platform.write_with_read_back(
             CLAIM_KIND,
             name,
             claim,
--- a/src/wardstair/standins/deployment.py
+++ b/src/wardstair/standins/deployment.py
@@ -16,7 +16,7 @@
     Action,
     ApplyDocument,
     Order,
-    OrderDesk,
+    OrderExecutor,
 )
 from wardstair.process.platform import PlatformClient
 from wardstair.process.settings import EntrySettings, check_settings
@@ -107,14 +107,14 @@
         """Give an order and return the version that has it."""
         self._orders += 1
         client = PlatformClient(self.platform.url, 2.0, 1000)
-        desk = OrderDesk(client)
+        desk = OrderExecutor(client)
         order = Order(
             key=key or f'deployment-{self._orders}',
             operator='deployment',
             action=action,
         )
         try:
-            answer = await desk.carry_out(order)
+            answer = await desk.execute(order)
         finally:
             client.close()
         match answer:
--- a/tests/functional/test_fleet.py
+++ b/tests/functional/test_fleet.py
@@ -16,7 +16,7 @@
     StartDrain,
     StartShift,
     StopDrain,
-    moved_caps,
+    find_changed_targets,
 )
 from wardstair.process.peers import Received
 from wardstair.standins.upstream import Behaviour
@@ -359,8 +359,8 @@
     async def test(trial: Trial) -> None:
         hosts = trial.deployment.hosts
         first, second = hosts['west-a-1'], hosts['west-a-2']
-        first.links.refuse('west-a-2')
-        second.links.refuse('west-a-1')
+        first.links.block('west-a-2')
+        second.links.block('west-a-1')
         before = first.fleet.members.members['west-a-2'].row.beat
         await trial.deployment.wait_until(
             lambda: (
@@ -394,4 +394,4 @@
     }
     before = small_document(zones=ZONES, shifts=[{'name': 'choir', **shift}])
     after = small_document(zones=zones, shifts=[{'name': name, **shift}])
-    assert len(moved_caps(before, after)) == faults
+    assert len(find_changed_targets(before, after)) == faults
--- a/tests/functional/test_memory.py
+++ b/tests/functional/test_memory.py
@@ -9,7 +9,7 @@
 from wardstair.process.journal import Journal
 from wardstair.process.messages import (
     DEFLATED,
-    MESSAGE_BYTES,
+    MAX_MESSAGE_BYTES,
     HostsGive,
     PartGive,
     decode,
@@ -55,8 +55,8 @@
 
 
 def test_a_small_message_cannot_unpack_to_a_huge_one() -> None:
-    raw = encode(PartGive(b'0' * (2 * MESSAGE_BYTES)))
-    assert len(raw) < MESSAGE_BYTES / 100
+    raw = encode(PartGive(b'0' * (2 * MAX_MESSAGE_BYTES)))
+    assert len(raw) < MAX_MESSAGE_BYTES / 100
     assert decode(raw).is_err()
 
 
