--- a/src/wardstair/process/__init__.py
+++ b/src/wardstair/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for the whole process of an entry host."""
+"""Components that exist once in the process of an entry host."""
--- a/src/wardstair/process/log.py
+++ b/src/wardstair/process/log.py
@@ -1,4 +1,4 @@
-"""Log lines: one line of key=value pairs for each event."""
+"""Structured logging: a line of key=value pairs for each event."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def configure_logging(level: str = 'INFO') -> None:
-    """Send events to standard error, one line each."""
+    """Log to standard error."""
     logger.remove()
     logger.add(
         sys.stderr,
@@ -20,14 +20,15 @@
 
 
 def log_to_stdout(process: str, level: str = 'INFO') -> LineSink:
-    """Send events to standard output, one line each, without waiting for it.
+    """Log to standard output without blocking on it.
 
     Args:
-        process: Name that each line carries, since logs are put together.
-        level: Least severity that is written.
+        process: Name of the process. Each line contains it, since the logs of
+            several processes may be merged.
+        level: Lowest severity that is logged.
 
     Returns:
-        The sink, whose counts go into the metrics.
+        The sink, whose counts are exported as metrics.
     """
     sink = LineSink(sys.stdout.fileno())
     head = 'time={time:YYYY-MM-DDTHH:mm:ss.SSSZZ} level={level} '
@@ -36,7 +37,7 @@
         sink.write,
         level=level,
         format=f'{head}process={_quoted(process)} {{message}}',
-        # Both would add cost to each line for traces that no line has.
+        # Both cost time on each line, and lines never contain tracebacks.
         backtrace=False,
         catch=False,
     )
@@ -48,13 +49,13 @@
 
     Args:
         event: Stable name of the event.
-        fields: What is known of it, by name.
+        fields: Values by field name.
     """
     logger.info('{}', _line(event, fields))
 
 
 def log_warning(event: str, **fields: object) -> None:
-    """Log one event that an operator should look at."""
+    """Log one event that an operator should examine."""
     logger.warning('{}', _line(event, fields))
 
 
--- a/src/wardstair/process/messages.py
+++ b/src/wardstair/process/messages.py
@@ -1,7 +1,7 @@
-"""Messages between entry hosts, as CBOR over websockets.
+"""Messages between entry hosts, encoded as CBOR and sent over websockets.
 
-Each is a data class with a `kind`; what arrives is validated before anything
-acts on it.
+Each message is a data class whose `kind` identifies it. Received messages are
+validated when they are decoded.
 """
 
 import zlib
@@ -21,15 +21,15 @@
 )
 
 MAX_MESSAGE_BYTES = 4194304
-DEFLATE_FROM_BYTES = 256
+MIN_DEFLATE_BYTES = 256
 DEFLATE_LEVEL = 1
-# A CBOR map never begins with this byte.
+# First byte of a compressed message; no CBOR map begins with it.
 DEFLATED = b'\x00'
 
 
 @dataclass(frozen=True)
 class Hello:
-    """First message on a link: who speaks, and for which listener."""
+    """First message on a link, which identifies the sender."""
 
     identity: Identity
     zone: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Heartbeat:
-    """A host's own row, rows it heard, and what it probed since the last."""
+    """State of the sender, recent states of peers, and new probe results."""
 
     row: HostRow
     heard: tuple[HostRow, ...]
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class ZoneGossip:
-    """Reports of zones."""
+    """State reports of zones."""
 
     reports: tuple[ZoneReport, ...]
     kind: Literal['zone-gossip'] = 'zone-gossip'
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class HostsAsk:
-    """Asks for lists of hosts by digest."""
+    """Requests host lists by their digests."""
 
     digests: tuple[bytes, ...]
     kind: Literal['hosts-ask'] = 'hosts-ask'
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class HostsGive:
-    """A list of hosts of one zone."""
+    """The hosts of one zone."""
 
     hosts: tuple[FarHost, ...]
     kind: Literal['hosts-give'] = 'hosts-give'
@@ -73,7 +73,10 @@
 
 @dataclass(frozen=True)
 class LoanAsk:
-    """Asks for tokens of a resource; a patient one waits for the answer."""
+    """Requests a loan of tokens.
+
+    A patient request waits at the lender until a token is idle.
+    """
 
     ask: str
     resource: str
@@ -84,7 +87,7 @@
 
 @dataclass(frozen=True)
 class LoanGive:
-    """Answers a `LoanAsk`; no offer if nothing is idle."""
+    """Answers a `LoanAsk`; without an offer if no token is idle."""
 
     ask: str
     resource: str
@@ -94,7 +97,7 @@
 
 @dataclass(frozen=True)
 class LoanBack:
-    """Returns tokens of a loan."""
+    """Returns borrowed tokens to the lender."""
 
     resource: str
     loan: str
@@ -104,7 +107,7 @@
 
 @dataclass(frozen=True)
 class HoldingsAsk:
-    """Asks what the receiver still holds of a resource's tokens."""
+    """Queries which tokens of a resource the receiver still holds."""
 
     ask: str
     resource: str
@@ -123,7 +126,7 @@
 
 @dataclass(frozen=True)
 class HeadAsk:
-    """Asks for the head of the version in force, if it is newer."""
+    """Requests the head of the receiver's version, if it is newer."""
 
     newer_than: int
     kind: Literal['head-ask'] = 'head-ask'
@@ -131,7 +134,7 @@
 
 @dataclass(frozen=True)
 class HeadGive:
-    """The head of the version that the sender has in force."""
+    """Head of the configuration version in force on the sender."""
 
     version: int
     base: str
@@ -143,7 +146,7 @@
 
 @dataclass(frozen=True)
 class PartAsk:
-    """Asks for a part by its digest."""
+    """Requests a part of a configuration by its digest."""
 
     digest: str
     kind: Literal['part-ask'] = 'part-ask'
@@ -151,7 +154,7 @@
 
 @dataclass(frozen=True)
 class PartGive:
-    """A part."""
+    """A part of a configuration."""
 
     content: bytes
     kind: Literal['part-give'] = 'part-give'
@@ -180,27 +183,27 @@
 
 
 def encode(message: PeerMessage) -> bytes:
-    """Return the bytes of a message, deflated if that is worth it."""
+    """Encode a message, compressed from `MIN_DEFLATE_BYTES` on."""
     raw = cbor2.dumps(_ADAPTER.dump_python(message))
-    if len(raw) < DEFLATE_FROM_BYTES:
+    if len(raw) < MIN_DEFLATE_BYTES:
         return raw
     return DEFLATED + zlib.compress(raw, DEFLATE_LEVEL)
 
 
 def decode(raw: bytes) -> Result[PeerMessage, str]:
-    """Read and validate a message, or say what is wrong with it."""
+    """Decode and validate a message, or return why it is invalid."""
     try:
         content = cbor2.loads(_inflated(raw))
     except (cbor2.CBORDecodeError, ValueError, zlib.error) as error:
-        return Err(f'not CBOR: {error}')
+        return Err(f'message is not valid CBOR: {error}')
     try:
         return Ok(_ADAPTER.validate_python(content))
     except ValidationError as error:
-        return Err(f'not a message: {error.error_count()} errors')
+        return Err(f'message fails validation: {error.error_count()} errors')
 
 
 def _inflated(raw: bytes) -> bytes:
     if not raw.startswith(DEFLATED):
         return raw
-    # Bounded, so that a small message cannot unpack to a huge one.
+    # The limit prevents a small message from expanding to a huge one.
     return zlib.decompressobj().decompress(raw[1:], MAX_MESSAGE_BYTES)
--- a/src/wardstair/process/metrics.py
+++ b/src/wardstair/process/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of one process, by OpenTelemetry, for a Prometheus scrape.
+"""Metrics of the process, by OpenTelemetry, in the Prometheus format.
 
-Labels hold only names from the configuration and closed sets of kinds; a
-caller's input never becomes a label.
+Label values are names from the configuration or members of fixed sets, never
+input of a caller, which bounds the number of time series.
 """
 
 from collections import Counter
@@ -14,18 +14,19 @@
 from prometheus_client.metrics_core import Metric
 from prometheus_client.registry import Collector
 
-# Seconds; from an answer of a warm upstream nearby to the longest deadline.
+# In seconds, from the response of a warm upstream nearby to the longest
+# deadline.
 LATENCY_BUCKETS = (0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 1.5, 2.0, 4.0, 8.0)
 Rows = Callable[[], Iterable[tuple[float, dict[str, str]]]]
 
 
-# How requests end and what is done about it comes first on a page: collectors
-# that keep only the first kilobytes of it keep that.
+# Families at the start of the page: refusals and retries matter most, and some
+# collectors keep only the first kilobytes of a page.
 _FIRST_FAMILIES = ('wardstair_refusals', 'wardstair_retries')
 
 
 class _Page(Collector):
-    """The metrics of a registry in the order of the page."""
+    """Collects the metrics of a registry in the order of the page."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self._registry = registry
@@ -37,28 +38,29 @@
         )
 
 
-class Tally:
-    """Counts by label values, cheap enough for every request.
+class LabelledCounter:
+    """Counts by label values, cheap enough to update on every request.
 
-    A counter of the library takes some 50 us an addition, a tenth of what
-    forwarding a request may cost; it reads these instead when scraped.
+    An addition to an OpenTelemetry counter takes about 50 us, a tenth of the
+    time allowed for forwarding a request. Observable counters read these
+    counts at each scrape instead.
     """
 
     def __init__(self, labels: tuple[str, ...]) -> None:
-        """Start at nothing.
+        """Create a counter without counts.
 
         Args:
-            labels: Names of the labels, in the order of their values.
+            labels: Label names, in the order in which values are given.
         """
         self._labels = labels
         self._counts: Counter[tuple[str, ...]] = Counter()
 
     def add(self, *values: str) -> None:
-        """Count one more."""
+        """Increment the count of these label values."""
         self._counts[values] += 1
 
     def count(self, *values: str) -> int:
-        """Return the count so far."""
+        """Return the count of these label values."""
         return self._counts[values]
 
     def rows(self) -> list[tuple[float, dict[str, str]]]:
@@ -70,10 +72,10 @@
 
 
 class Metrics:
-    """The instruments of one process."""
+    """The instruments of the process."""
 
     def __init__(self) -> None:
-        """Make the instruments on a registry of their own."""
+        """Create the instruments in a separate registry."""
         self._registry = CollectorRegistry()
         self._reader = PrometheusMetricReader(
             registry=self._registry,
@@ -83,79 +85,79 @@
         self._provider = MeterProvider(metric_readers=[self._reader])
         meter = self._provider.get_meter('wardstair')
         self._meter = meter
-        self.lookups = self._tally(
+        self.lookups = self._add_counter(
             'lookups',
             'Look-ups answered',
             'workload',
         )
-        self.requests = self._tally(
+        self.requests = self._add_counter(
             'requests',
             'Requests answered by an upstream',
             'workload',
         )
-        self.split_requests = self._tally(
+        self.split_requests = self._add_counter(
             'split_requests',
             'Requests of split routes by the service they were given',
             'workload',
             'service',
         )
-        self.refusals = self._tally(
+        self.refusals = self._add_counter(
             'refusals',
             'Requests refused',
             'kind',
             'workload',
         )
-        self.quota_refusals = self._tally(
+        self.quota_refusals = self._add_counter(
             'quota_refusals',
             'Requests refused since a quota was used up',
             'organisation',
         )
-        self.key_faults = self._tally(
+        self.key_faults = self._add_counter(
             'key_faults',
             'Requests whose API key was not accepted',
             'fault',
         )
-        self.retries = self._tally(
+        self.retries = self._add_counter(
             'retries',
             'Further attempts',
             'reason',
             'workload',
         )
-        self.retries_withheld = self._tally(
+        self.retries_withheld = self._add_counter(
             'retries_withheld',
             'Further attempts that were not made',
             'verdict',
             'workload',
         )
-        self.sends_after_notice = self._tally(
+        self.sends_after_notice = self._add_counter(
             'sends_after_notice',
             'Requests sent to upstreams that leave or have asked for a pause',
             'notice',
             'way',
         )
-        self.handed_on = self._tally(
+        self.handed_on = self._add_counter(
             'requests_handed_on',
             'Requests handed on to another entry host, by how that ended',
             'outcome',
             'workload',
         )
-        self.platform_calls = self._tally(
+        self.platform_calls = self._add_counter(
             'platform_calls',
             'Calls on the platform',
             'outcome',
         )
-        self.task_failures = self._tally(
+        self.task_failures = self._add_counter(
             'task_failures',
             'Tasks of this host that failed and began again',
             'task',
         )
-        self.lines_thinned = self._tally(
+        self.lines_thinned = self._add_counter(
             'log_lines_thinned',
             'Log lines of requests that were left out',
             'event',
         )
-        # These two are of the Prometheus client itself: a histogram of
-        # OpenTelemetry takes some 40 us a value, this one 2.
+        # These two use the Prometheus client directly: recording a value takes
+        # about 2 us, with a histogram of OpenTelemetry about 40 us.
         self._request_seconds = Histogram(
             'wardstair_gateway_request_seconds',
             'Seconds from the head of a request to its answer',
@@ -177,30 +179,30 @@
         )
 
     def observe_request(self, route: str, seconds: float) -> None:
-        """Note how long a request took from its head to its answer.
+        """Record the time from the head of a request to its response.
 
         Args:
-            route: Its route.
-            seconds: The time.
+            route: Route of the request.
+            seconds: Duration in seconds.
         """
         self._request_seconds.labels(route).observe(seconds)
 
     def observe_upstream(self, service: str, seconds: float) -> None:
-        """Note how long an upstream took from the send to its answer.
+        """Record the time from sending a request to the whole response.
 
         Args:
-            service: The upstream's service.
-            seconds: The time.
+            service: Service of the upstream.
+            seconds: Duration in seconds.
         """
         self._upstream_seconds.labels(service).observe(seconds)
 
     def add_gauge(self, name: str, description: str, rows: Rows) -> None:
-        """Add a gauge that is read when it is scraped.
+        """Add a gauge whose values are read at each scrape.
 
         Args:
             name: Name of the metric.
-            description: What it counts, with its unit.
-            rows: Called at each scrape; returns values with their labels.
+            description: Help text, with the unit.
+            rows: Called at each scrape; returns values and their labels.
         """
         self._meter.create_observable_gauge(
             name,
@@ -209,12 +211,12 @@
         )
 
     def add_count(self, name: str, description: str, rows: Rows) -> None:
-        """Add a counter that is kept elsewhere and read when scraped.
+        """Add a counter whose totals are kept by the caller.
 
         Args:
             name: Name of the metric.
-            description: What it counts, with its unit.
-            rows: Called at each scrape; returns totals with their labels.
+            description: Help text, with the unit.
+            rows: Called at each scrape; returns totals and their labels.
         """
         self._meter.create_observable_counter(
             name,
@@ -222,17 +224,19 @@
             description=description,
         )
 
-    def _tally(self, name: str, description: str, *labels: str) -> Tally:
-        tally = Tally(labels)
-        self.add_count(f'wardstair_{name}', description, tally.rows)
-        return tally
+    def _add_counter(
+        self, name: str, description: str, *labels: str
+    ) -> LabelledCounter:
+        counts = LabelledCounter(labels)
+        self.add_count(f'wardstair_{name}', description, counts.rows)
+        return counts
 
     def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
         return generate_latest(_Page(self._registry))
 
     def close(self) -> None:
-        """Release the instruments."""
+        """Shut down the meter provider."""
         self._provider.shutdown()
 
 
--- a/src/wardstair/process/operators.py
+++ b/src/wardstair/process/operators.py
@@ -1,4 +1,4 @@
-"""The operators' listener: status, orders, explanations and metrics."""
+"""HTTP listener for operators: status, orders, explanations, metrics."""
 
 import hmac
 import json
@@ -22,25 +22,25 @@
 
 
 class OperatorService(Protocol):
-    """What the listener needs of the entry host."""
+    """Interface of the entry host that the listener uses."""
 
     def status(self) -> dict[str, Any]:
-        """Return what is happening, as JSON values."""
+        """Return the status of this host, as JSON values."""
 
     def upstreams(self) -> list[dict[str, Any]]:
-        """Return the upstreams of the zone, as JSON values."""
+        """Return the upstreams of this host's zone, as JSON values."""
 
     def fleet_hosts(self) -> list[dict[str, Any]]:
         """Return the known entry hosts, as JSON values."""
 
     def config_status(self) -> dict[str, Any]:
-        """Return which version is in force where, as JSON values."""
+        """Return the configuration versions in force, as JSON values."""
 
     def config_document(self) -> dict[str, Any] | None:
         """Return the configuration in force, as JSON values."""
 
     def explain(self, subject: str) -> JournalEntry | None:
-        """Return what is known of a subject."""
+        """Return the journal entry of a subject, or None."""
 
     def render_metrics(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
@@ -49,7 +49,7 @@
         self,
         order: Order,
     ) -> Result[OrderAnswer, list[Fault]]:
-        """Carry out an order."""
+        """Apply an order."""
 
 
 class _OperatorHandler(RequestHandler):
@@ -73,7 +73,8 @@
         header = self.request.headers.get('Authorization', '')
         token = header.removeprefix(_BEARER)
         digest = sha256(token.encode()).hexdigest()
-        # All are compared, so that time tells nothing of which one matched.
+        # All hashes are compared so that the duration does not reveal which
+        # one matched.
         matches = [hmac.compare_digest(digest, one) for one in self.hashes]
         return any(matches)
 
@@ -141,20 +142,20 @@
                 self.reply({'faults': [str(fault) for fault in faults]})
 
 
-def _log_nothing(_handler: RequestHandler) -> None:
-    """Keep tornado from logging each call in a form of its own."""
+def _skip_access_log(_handler: RequestHandler) -> None:
+    """Suppress the access log of tornado, which has another format."""
 
 
 def operator_application(
     service: OperatorService,
     token_hashes: tuple[str, ...],
 ) -> Application:
-    """Return the application of the operators' listener.
+    """Create the web application of the operators' listener.
 
     Args:
         service: The entry host.
-        token_hashes: SHA-256 digests of the tokens that may order; none
-            means that anyone who reaches the listener may.
+        token_hashes: SHA-256 digests of the accepted bearer tokens, in hex;
+            if empty, requests need no token.
     """
     arguments = {'service': service, 'hashes': token_hashes}
     return Application(
@@ -164,5 +165,5 @@
             ('/v1/([a-z-]+)', _StatusHandler, arguments),
             ('/metrics', _MetricsHandler, arguments),
         ],
-        log_function=_log_nothing,
+        log_function=_skip_access_log,
     )
--- a/src/wardstair/process/orders.py
+++ b/src/wardstair/process/orders.py
@@ -1,8 +1,9 @@
-"""Orders of operators: each makes one new version of the configuration.
+"""Operators' orders, each of which creates a configuration version.
 
-An order carries a key. It is applied to the newest version by conditional
-update, again if another operator was faster, and never twice: the head
-remembers the key that made it, and each version keeps the last keys.
+An order is applied to the newest version by a conditional update, which is
+retried if another order came first. The order's key makes it idempotent: the
+head contains the key of the order that created it, and the key of each applied
+order is stored.
 """
 
 from dataclasses import dataclass, field
@@ -37,7 +38,7 @@
     unpack,
 )
 
-ORDER_TRIES = 10
+MAX_ORDER_ATTEMPTS = 10
 ORDER_KIND = 'orders'
 
 
@@ -67,7 +68,7 @@
 
 
 class StartShift(_Model):
-    """Start a shift, or change the cap of one."""
+    """Start a shift, or change the cap of a running one."""
 
     verb: Literal['shift-start']
     shift: ShiftModel
@@ -81,7 +82,7 @@
 
 
 class SetPolicy(_Model):
-    """Give a workload a policy."""
+    """Set the placement policy of a workload."""
 
     verb: Literal['policy-set']
     policy: PolicyModel
@@ -97,12 +98,12 @@
     """An order of an operator.
 
     Attributes:
-        key: Makes the order idempotent; unique for each intent.
-        operator: Who gives it.
-        expected: Version that it was decided on, or None for the newest.
-        dry_run: Only forecast.
-        force: Carry out in spite of a bad forecast.
-        action: What to do.
+        key: Idempotency key; unique for each intended change.
+        operator: Name of the operator who gives the order.
+        expected: Version that must be the newest one, or None for any.
+        dry_run: Whether to check and forecast the order without applying it.
+        force: Whether to apply the order despite an unfavourable forecast.
+        action: Change to make.
     """
 
     key: Annotated[str, Field(min_length=8, max_length=100)]
@@ -115,12 +116,12 @@
 
 @dataclass(frozen=True)
 class OrderAnswer:
-    """What came of an order.
+    """Result of an order.
 
     Attributes:
-        version: Version that has it, or the present one for a dry run.
-        repeated: Whether the order had been carried out before.
-        forecast: Lines for people.
+        version: Version that the order created; for a dry run the newest one.
+        repeated: Whether the order had already been applied.
+        forecast: Forecast of the order's effect, as lines of text.
     """
 
     version: int
@@ -144,13 +145,13 @@
 
 
 class OrderExecutor:
-    """Turns orders into versions, through the platform."""
+    """Applies orders by storing new versions on the platform."""
 
     def __init__(self, platform: PlatformClient) -> None:
-        """Prepare a desk.
+        """Create an executor.
 
         Args:
-            platform: Where versions are stored.
+            platform: Client of the platform, which stores the versions.
         """
         self._platform = platform
 
@@ -158,46 +159,48 @@
         self,
         order: Order,
     ) -> Result[OrderAnswer, list[Fault]]:
-        """Make the version that an order asks for, at most once.
+        """Apply an order, at most once for its key.
 
         Returns:
-            The version, or the faults that keep it from being made. After a
-            fault of the platform the outcome may be unknown; giving the
-            order again with the same key is safe.
+            The answer, or the faults for which the order was rejected. After
+            a platform fault the outcome may be unknown; the order can safely
+            be repeated with the same key.
         """
-        noted = await self._platform.read(ORDER_KIND, order.key)
-        match noted:
+        recorded = await self._platform.read(ORDER_KIND, order.key)
+        match recorded:
             case Ok(stored) if stored.value.get('version'):
                 version = stored.value['version']
                 return Ok(OrderAnswer(version, repeated=True))
             case Ok() | Err(ObjectMissing()):
-                return await self._attempt(order)
+                return await self._apply_with_retries(order)
             case Err(error):
                 return _platform_fault(error)
 
-    async def _attempt(
+    async def _apply_with_retries(
         self,
         order: Order,
     ) -> Result[OrderAnswer, list[Fault]]:
-        for _ in range(ORDER_TRIES):
+        for _ in range(MAX_ORDER_ATTEMPTS):
             found = await self._platform.read(HEAD_KIND, HEAD_NAME)
             match found:
                 case Ok(stored):
                     head = head_from_json(stored.value)
-                    current = await self._current(stored, head)
+                    current = await self._load_current(stored, head)
                 case Err(ObjectMissing()):
                     current = Ok(None)
                 case Err(error):
                     return _platform_fault(error)
             if isinstance(current, Err):
                 return current
-            done = await self._make(order, current.ok_value)
+            done = await self._apply_once(order, current.ok_value)
             if done is not None:
                 return done
-        hint = 'other operators are faster; try again'
-        return Err([Fault('order', order.key, 'versions kept changing', hint)])
+        hint = 'other orders were applied first; try again'
+        return Err(
+            [Fault('order', order.key, 'the version kept changing', hint)]
+        )
 
-    async def _current(
+    async def _load_current(
         self,
         stored: StoredObject,
         head: Head,
@@ -222,20 +225,20 @@
             case Err(error):
                 return _platform_fault(error)
 
-    async def _make(
+    async def _apply_once(
         self,
         order: Order,
         current: _Current | None,
     ) -> Result[OrderAnswer, list[Fault]] | None:
-        """Make one attempt; None asks for another on the newest version."""
+        """Apply an order; return None if the newest version has changed."""
         if current is not None and current.head.command == order.key:
             return Ok(OrderAnswer(current.version, repeated=True))
         version = 0 if current is None else current.version
         if order.expected is not None and order.expected != version:
             message = f'the newest version is {version}, not {order.expected}'
-            hint = 'look at what changed, then order again'
+            hint = 'check what changed, then repeat the order'
             return Err([Fault('order', 'expected', message, hint)])
-        package = _package(order, current)
+        package = _build_package(order, current)
         if isinstance(package, Err):
             return package
         if order.dry_run:
@@ -253,7 +256,7 @@
             written = await self._platform.write(PART_KIND, digest, value, 0)
             match written:
                 case Err(VersionConflict()) | Ok():
-                    # A part that exists already is the same part.
+                    # A part is named by its digest: an existing one is equal.
                     continue
                 case Err(error):
                     return _platform_fault(error)
@@ -265,14 +268,14 @@
         )
         match written:
             case Ok(stored):
-                await self._note(order, stored.version)
+                await self._record_order(order, stored.version)
                 return Ok(OrderAnswer(stored.version, repeated=False))
             case Err(VersionConflict()):
                 return None
             case Err(error):
                 return _platform_fault(error)
 
-    async def _note(self, order: Order, version: int) -> None:
+    async def _record_order(self, order: Order, version: int) -> None:
         record = {
             'version': version,
             'operator': order.operator,
@@ -288,11 +291,14 @@
     document: SteeringDocument,
     action: StartDrain | StopDrain | StartShift | StopShift | SetPolicy,
 ) -> Result[SteeringDocument, list[Fault]]:
-    """Return the configuration after an action, checked.
+    """Apply an action to a configuration and check the outcome.
 
     Args:
-        document: The configuration before.
-        action: What to change.
+        document: Configuration to change.
+        action: Change to make.
+
+    Returns:
+        The changed configuration, or its faults.
     """
     match action:
         case StartDrain(drain=drain):
@@ -351,7 +357,7 @@
     return document.model_copy(update={'policies': (*kept, policy)})
 
 
-def _package(
+def _build_package(
     order: Order,
     current: _Current | None,
 ) -> Result[Package, list[Fault]]:
@@ -359,11 +365,13 @@
     match action:
         case ApplyDocument(document=content):
             return check_document(content, 'order').and_then(
-                lambda document: _packed(order, document, current),
+                lambda document: _pack_document(order, document, current),
             )
         case _ if current is None:
             hint = 'apply a configuration first'
-            return Err([Fault('order', 'verb', 'there is no version', hint)])
+            return Err(
+                [Fault('order', 'verb', 'no configuration exists', hint)]
+            )
         case _:
             head = Head('', current.head.blocks, order.key, order.operator)
             return apply_action(current.document, action).map(
@@ -371,7 +379,7 @@
             )
 
 
-def _packed(
+def _pack_document(
     order: Order,
     document: SteeringDocument,
     current: _Current | None,
@@ -390,15 +398,15 @@
     before: SteeringDocument,
     after: SteeringDocument,
 ) -> list[Fault]:
-    """Return faults for shifts whose cap would be divided anew in force.
+    """Return a fault for each running shift whose target's zones change.
 
-    Each zone of a shift's target keeps a part of the cap. While one zone has
-    the new zones in force and another not yet, the parts could sum to more
-    than the cap.
+    The zones of the target region divide the cap of a shift among them. While
+    some zones apply the new division and others still the old one, their
+    shares could sum to more than the cap.
 
     Args:
-        before: The version in force.
-        after: The version that is ordered.
+        before: Newest version.
+        after: Version that the order would create.
     """
     running = {shift.name for shift in before.shifts}
     return [
@@ -410,14 +418,15 @@
         )
         for shift in after.shifts
         if shift.name in running
-        and _zones_of(before, shift.target) != _zones_of(after, shift.target)
+        and _zone_names(before, shift.target)
+        != _zone_names(after, shift.target)
     ]
 
 
-def _zones_of(document: SteeringDocument, region: str) -> set[str]:
+def _zone_names(document: SteeringDocument, region: str) -> set[str]:
     return {zone.name for zone in document.zones if zone.region == region}
 
 
 def _platform_fault(error: PlatformError) -> Err[list[Fault]]:
-    hint = f'{error.hint}; the same key makes it safe to order again'
+    hint = f'{error.hint}; repeating the order with the same key is safe'
     return Err([Fault('platform', 'call', str(error), hint)])
--- a/src/wardstair/process/peers.py
+++ b/src/wardstair/process/peers.py
@@ -1,9 +1,9 @@
-"""Links to other entry hosts: websockets with CBOR messages.
+"""Links to other entry hosts: websockets that carry CBOR messages.
 
-Inside a zone every pair of hosts keeps one link, dialled by the lower name.
-Links to other zones are dialled when a report is due and closed when idle.
-A link's task owns its socket; the rest of the process talks to it by its
-queue and hears from it through one inbox.
+In a zone, each pair of hosts keeps one link open, which the host with the
+lower name dials. Links to other zones are opened when a report is due.
+The socket of a link is used only by the tasks of that link: outgoing messages
+pass through a queue for each link, received ones through a shared inbox.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 )
 from wardstair.process.platform import backoff_seconds
 
-QUEUED_MESSAGES = 256
+MAX_QUEUED_MESSAGES = 256
 DIAL_SECONDS = 2.0
 HELLO_SECONDS = 5.0
 IDLE_LINK_SECONDS = 30.0
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Received:
-    """A message with its sender."""
+    """A received message with its sender."""
 
     sender: Identity
     message: PeerMessage
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class PeerAddress:
-    """Where another entry host listens for peers."""
+    """Name of an entry host and the address of its peer listener."""
 
     name: str
     address: str
@@ -61,7 +61,7 @@
 
 
 class PeerLinks:
-    """All links of one host."""
+    """The links of this host to other entry hosts."""
 
     def __init__(
         self,
@@ -69,11 +69,11 @@
         inbox: asyncio.Queue[Received],
         random: Random,
     ) -> None:
-        """Prepare without any socket.
+        """Create the object without opening sockets.
 
         Args:
-            hello: How this host introduces itself.
-            inbox: Where received messages go.
+            hello: First message that this host sends on each link.
+            inbox: Queue for received messages.
             random: Source of jitter.
         """
         self.port = 0
@@ -87,16 +87,16 @@
         self._links: dict[str, _Link] = {}
         self._dialling: dict[str, asyncio.Task[None]] = {}
         self._wanted: dict[str, str] = {}
-        self._refused: set[str] = set()
+        self._blocked: set[str] = set()
         self._server: Server | None = None
 
     @property
     def linked(self) -> frozenset[str]:
-        """Names of the hosts that a link leads to now."""
+        """Names of the hosts to which a link is open."""
         return frozenset(self._links)
 
     async def start(self, address: str, port: int) -> None:
-        """Listen for other hosts; port 0 lets the system choose."""
+        """Listen for other hosts; port 0 lets the system select a port."""
         self._server = await serve(
             self._accept,
             address,
@@ -120,11 +120,14 @@
             await self._server.wait_closed()
 
     def set_deployment(self, deployment: str) -> None:
-        """Introduce this host with the name of its deployment from now."""
+        """Set the deployment that is sent in hello messages."""
         self._hello = replace(self._hello, deployment=deployment)
 
     def keep_linked(self, peers: list[PeerAddress]) -> None:
-        """Keep links to these hosts and redial them when they break."""
+        """Keep links to these hosts open and redial broken ones.
+
+        Replaces the previous list. Hosts with lower names dial this host.
+        """
         self._wanted = {
             peer.name: peer.address
             for peer in peers
@@ -135,26 +138,30 @@
                 self._dial_in_background(name, self._keep_dialling(name))
 
     def open_link(self, peer: PeerAddress) -> None:
-        """Open a link to a host if there is none; it closes when idle."""
+        """Open a link to a host in the background if none is open."""
         if peer.name in self._links or peer.name in self._dialling:
             return
         self._dial_in_background(peer.name, self._dial_once(peer.address))
 
     def block(self, name: str) -> None:
-        """Have no link to a host from now, as if it were cut; for trials."""
-        self._refused.add(name)
+        """Abort the link to a host and accept no new one; used by tests."""
+        self._blocked.add(name)
         link = self._links.pop(name, None)
         if link is not None:
             link.connection.transport.abort()
 
     def send(self, name: str, message: PeerMessage) -> bool:
-        """Queue a message; return False if no link leads to the host."""
+        """Queue a message for a host.
+
+        Returns:
+            False if there is no link to the host or its queue is full.
+        """
         if name not in self._links:
             return False
         return self._queue(name, message.kind, encode(message))
 
     def broadcast(self, names: Iterable[str], message: PeerMessage) -> None:
-        """Queue one message for several hosts, encoded once."""
+        """Encode a message once and queue it for the hosts that have a link."""
         raw = encode(message)
         for name in names:
             if name in self._links:
@@ -164,8 +171,8 @@
         try:
             self._links[name].outgoing.put_nowait(raw)
         except asyncio.QueueFull:
-            # A host that reads too slowly misses messages; all of them are
-            # repeated or time out, so none has to be kept.
+            # The peer reads too slowly. The message can be dropped, since all
+            # messages are repeated or their loss is covered by a timeout.
             return False
         self.sent[kind] += 1
         self.sent_bytes += len(raw)
@@ -203,28 +210,28 @@
         except (OSError, WebSocketException, TimeoutError):
             return False
         async with connection:
-            return await self._talk(connection)
+            return await self._run_link(connection)
 
     async def _accept(self, connection: ServerConnection) -> None:
-        await self._talk(connection)
+        await self._run_link(connection)
 
-    async def _talk(self, connection: Connection) -> bool:
-        peer = await self._introduce(connection)
-        if peer is None or peer.name in self._refused:
+    async def _run_link(self, connection: Connection) -> bool:
+        peer = await self._exchange_hello(connection)
+        if peer is None or peer.name in self._blocked:
             return False
-        link = _Link(peer, connection, asyncio.Queue(QUEUED_MESSAGES))
+        link = _Link(peer, connection, asyncio.Queue(MAX_QUEUED_MESSAGES))
         self._links[peer.name] = link
-        writer = asyncio.ensure_future(_write(link))
+        writer = asyncio.ensure_future(_write_messages(link))
         self.on_link(peer.name)
         try:
-            await self._read(link)
+            await self._read_messages(link)
         finally:
             writer.cancel()
             if self._links.get(peer.name) is link:
                 self._links.pop(peer.name)
         return True
 
-    async def _introduce(self, connection: Connection) -> Identity | None:
+    async def _exchange_hello(self, connection: Connection) -> Identity | None:
         try:
             await connection.send(encode(self._hello))
             async with asyncio.timeout(HELLO_SECONDS):
@@ -233,16 +240,19 @@
             return None
         match decode(raw if isinstance(raw, bytes) else raw.encode()):
             case Ok(Hello() as hello) if (
-                _is_same(hello.deployment, self._hello.deployment)
+                _may_be_same(hello.deployment, self._hello.deployment)
                 and hello.identity != self._hello.identity
             ):
                 return hello.identity
             case _:
-                log_warning('peer-refused', reason='wrong hello')
+                log_warning(
+                    'peer-refused',
+                    reason='hello is invalid or from another deployment',
+                )
                 await connection.close()
                 return None
 
-    async def _read(self, link: _Link) -> None:
+    async def _read_messages(self, link: _Link) -> None:
         with contextlib.suppress(ConnectionClosed):
             async for raw in link.connection:
                 content = raw if isinstance(raw, bytes) else raw.encode()
@@ -258,12 +268,12 @@
                         )
 
 
-def _is_same(theirs: str, ours: str) -> bool:
-    # A host without a configuration does not know its deployment yet.
+def _may_be_same(theirs: str, ours: str) -> bool:
+    # The deployment is empty until a host has a configuration.
     return not theirs or not ours or theirs == ours
 
 
-async def _write(link: _Link) -> None:
+async def _write_messages(link: _Link) -> None:
     with contextlib.suppress(ConnectionClosed):
         while True:
             await link.connection.send(await link.outgoing.get())
--- a/src/wardstair/process/placement.py
+++ b/src/wardstair/process/placement.py
@@ -1,4 +1,4 @@
-"""Places calls on zones by the policy of their workload."""
+"""Selects zones for calls by the placement policy of their workload."""
 
 import time
 from dataclasses import dataclass
@@ -20,18 +20,18 @@
 from wardstair.version.document import HostModel, PolicyModel
 from wardstair.version.topology import Topology
 
-KEPT_SECONDS = 0.5
-FAR_MILLISECONDS = 1e6
+WEIGHTS_CACHE_SECONDS = 0.5
+UNKNOWN_DELAY_MILLISECONDS = 1e6
 
 
 @dataclass(frozen=True)
-class _Weighed:
+class _CachedWeights:
     made_at: float
     weights: list[ZoneWeight]
 
 
 class Placement:
-    """Chooses the zone of a call, and an entry host if it is another's."""
+    """Selects the zone of a call, and an entry host if it is another zone."""
 
     def __init__(
         self,
@@ -40,65 +40,66 @@
         fleet: Fleet,
         random: Random,
     ) -> None:
-        """Prepare without a version.
+        """Create a placement that has no configuration yet.
 
         Args:
             zone: Zone of this host.
             region: Region of this host.
-            fleet: Reports of other zones and their hosts.
-            random: Source of the draw by weight.
+            fleet: Source of the reports and entry hosts of other zones.
+            random: Source of randomness.
         """
         self._zone = zone
         self._region = region
         self._fleet = fleet
         self._random = random
         self._topology: Topology | None = None
-        self._kept: dict[str, _Weighed] = {}
+        self._cached_weights: dict[str, _CachedWeights] = {}
 
     def adopt(self, topology: Topology) -> None:
-        """Take over the zones and policies of a new version."""
+        """Use the zones and policies of a new configuration version."""
         self._topology = topology
-        self._kept = {}
+        self._cached_weights = {}
 
     def preferred_remote_host(self, call: Call) -> HostModel | None:
-        """Return a host of another zone if the policy draws one.
+        """Draw a zone by the policy; return a host of it if it is remote.
 
-        Asked before the zone's own slots are tried; None means to try them.
+        Called before the slots of this host's zone are tried. None means that
+        these should be tried first.
         """
         workload = call.route.workload.name
         zone = draw(self.weights(workload), self._random)
         if zone is None or zone == self._zone:
             return None
-        return self._host_of(zone, frozenset())
+        return self._random_host(zone, frozenset())
 
     def find(self, call: Call, tried: frozenset[str]) -> HostModel | None:
-        """Return a host with room elsewhere, nearest zone first.
+        """Return a host of the nearest other zone with free slots, if any.
 
-        Asked when the zone's own slots are in use: whatever the policy
-        prefers, a request goes to whom can serve it.
+        Called when the slots of this host's zone are in use. The policy
+        is ignored, since any host that can serve the request is acceptable.
 
         Args:
-            call: The call to place.
-            tried: Hosts that it must not go to again.
+            call: Call to place.
+            tried: Names of hosts that were already tried and are skipped.
         """
         views = self._views(call.route.workload.name)
         for view in sorted(views, key=self._by_delay):
             if view.zone == self._zone or not view.is_open:
                 continue
-            host = self._host_of(view.zone, tried)
+            host = self._random_host(view.zone, tried)
             if host is not None:
                 return host
         return None
 
     def weights(self, workload: str) -> list[ZoneWeight]:
-        """Return the weights of the zones, decided twice a second."""
+        """Return the weights of the zones, cached for half a second."""
         now = time.monotonic()
-        kept = self._kept.get(workload)
-        if kept is None or now - kept.made_at >= KEPT_SECONDS:
+        cached = self._cached_weights.get(workload)
+        if cached is None or now - cached.made_at >= WEIGHTS_CACHE_SECONDS:
             policy = self._policy(workload)
-            kept = _Weighed(now, weigh(policy, self._views(workload)))
-            self._kept[workload] = kept
-        return kept.weights
+            cached = _CachedWeights(now, weigh(policy, self._views(workload)))
+            self._cached_weights[workload] = cached
+        return cached.weights
 
     def _policy(self, workload: str) -> Policy:
         if self._topology is None:
@@ -114,7 +115,7 @@
         return [
             ZoneView(
                 zone,
-                delays.get(zone, FAR_MILLISECONDS),
+                delays.get(zone, UNKNOWN_DELAY_MILLISECONDS),
                 topology.slots(workload, zone),
                 self._fleet.far_free(zone, workload),
                 self._fleet.report_age(zone),
@@ -131,7 +132,7 @@
         delays = {
             zone: 1.0
             if region == self._region
-            else here.get(region, FAR_MILLISECONDS)
+            else here.get(region, UNKNOWN_DELAY_MILLISECONDS)
             for zone, region in topology.zone_regions.items()
         }
         delays[self._zone] = 0.0
@@ -140,7 +141,9 @@
     def _by_delay(self, view: ZoneView) -> tuple[float, float]:
         return view.delay, self._random.random()
 
-    def _host_of(self, zone: str, tried: frozenset[str]) -> HostModel | None:
+    def _random_host(
+        self, zone: str, tried: frozenset[str]
+    ) -> HostModel | None:
         hosts = [
             host
             for host in self._fleet.far_hosts(zone)
@@ -150,7 +153,7 @@
 
 
 def policy_of(model: PolicyModel) -> Policy:
-    """Return the policy that a configuration asks for."""
+    """Return the policy that a policy model of the configuration describes."""
     match model.kind:
         case 'nearest':
             return Nearest(model.spill_at)
--- a/src/wardstair/process/platform.py
+++ b/src/wardstair/process/platform.py
@@ -1,8 +1,8 @@
 """Client of the platform's object API, over HTTP and JSON.
 
-Every call is counted against a local budget, so that no failure of ours can
-turn into a flood there. A write whose reply is lost is read back by
-`write_surely`, never repeated blindly.
+A local rate limit applies to all calls, so that a fault of this host cannot
+flood the platform. If the reply to a write is lost, `write_with_read_back`
+reads the object instead of repeating the write blindly.
 """
 
 import json
@@ -26,24 +26,24 @@
     WatchForgotten,
 )
 
-BACKOFF_FIRST_SECONDS = 0.2
-BACKOFF_MOST_SECONDS = 10.0
+FIRST_BACKOFF_SECONDS = 0.2
+MAX_BACKOFF_SECONDS = 10.0
 BUDGET_BURST_SECONDS = 4.0
-CALLS_AT_ONCE = 16
-NOWHERE = 'http://127.0.0.1:9'
-ANSWER_BYTES = 16777216
+MAX_CONCURRENT_CALLS = 16
+UNREACHABLE_URL = 'http://127.0.0.1:9'
+MAX_ANSWER_BYTES = 16777216
 _NO_BODY: Any = None
 
 
 @dataclass(frozen=True)
 class StoredObject:
-    """An object as the platform holds it.
+    """An object stored on the platform.
 
     Attributes:
-        kind: Its kind.
-        name: Its name.
-        version: Its version; it grows with every update of the object.
-        value: Its JSON value.
+        kind: Kind of the object.
+        name: Name, unique for the kind.
+        version: Version number, which increases with each update.
+        value: JSON value.
     """
 
     kind: str
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True)
 class ListedHost:
-    """A host on the platform's list, which lags.
+    """An entry of the platform's host list, which may be outdated.
 
     Attributes:
-        name: Its name.
+        name: Name of the host.
         state: `live`, `leaving` or `gone`.
     """
 
@@ -74,24 +74,25 @@
 
 
 class CallBudget:
-    """A token bucket of calls."""
+    """Token bucket that limits the rate of calls."""
 
     def __init__(self, calls_per_second: float) -> None:
         """Start with a full bucket.
 
         Args:
-            calls_per_second: Sustained rate; bursts last four seconds.
+            calls_per_second: Sustained rate; the bucket holds the calls of
+                `BUDGET_BURST_SECONDS`.
         """
         self._rate = calls_per_second
-        self._most = max(calls_per_second * BUDGET_BURST_SECONDS, 1.0)
-        self._tokens = self._most
+        self._capacity = max(calls_per_second * BUDGET_BURST_SECONDS, 1.0)
+        self._tokens = self._capacity
         self._updated = time.monotonic()
 
     def spend(self) -> float:
-        """Take one call; return 0, or the seconds until one is free."""
+        """Take a token; return 0, or the seconds until one is available."""
         now = time.monotonic()
         gained = (now - self._updated) * self._rate
-        self._tokens = min(self._tokens + gained, self._most)
+        self._tokens = min(self._tokens + gained, self._capacity)
         self._updated = now
         if self._tokens < 1:
             return (1 - self._tokens) / self._rate
@@ -100,13 +101,13 @@
 
 
 def backoff_seconds(failures: int, random: Random) -> float:
-    """Return how long to wait after some failures in a row, with jitter."""
-    most = min(BACKOFF_FIRST_SECONDS * 2**failures, BACKOFF_MOST_SECONDS)
-    return random.uniform(most / 2, most)
+    """Return the exponential delay after consecutive failures, with jitter."""
+    longest = min(FIRST_BACKOFF_SECONDS * 2**failures, MAX_BACKOFF_SECONDS)
+    return random.uniform(longest / 2, longest)
 
 
 class PlatformClient:
-    """Reads, writes and watches objects."""
+    """Client of the object API."""
 
     def __init__(
         self,
@@ -115,19 +116,19 @@
         calls_per_second: float,
         count_call: Callable[[str], None] = lambda outcome: None,
     ) -> None:
-        """Prepare a client; no connection is opened yet.
+        """Create a client without opening connections.
 
         Args:
             url: Base URL of the object API.
-            timeout: Seconds for a call; a watch may wait longer.
-            calls_per_second: Local budget of calls.
-            count_call: Told the outcome of each call.
+            timeout: Timeout of a call in seconds; a watch adds its own wait.
+            calls_per_second: Local rate limit.
+            count_call: Called with the outcome of each call.
         """
         self._url = url.rstrip('/')
         self._timeout = timeout
         self._budget = CallBudget(calls_per_second)
         self._count_call = count_call
-        self._client = make_client(CALLS_AT_ONCE, ANSWER_BYTES)
+        self._client = make_client(MAX_CONCURRENT_CALLS, MAX_ANSWER_BYTES)
 
     async def read(
         self,
@@ -159,10 +160,10 @@
         """Write an object if it still has the expected version.
 
         Args:
-            kind: Its kind.
-            name: Its name.
+            kind: Kind of the object.
+            name: Name of the object.
             value: New JSON value, at most 1 MB.
-            expected: Version it must have; 0 to create it.
+            expected: Version that the object must have; 0 to create it.
         """
         path = f'/objects/{kind}/{quote(name, safe="")}'
         body = {'value': value, 'expected': expected}
@@ -176,10 +177,10 @@
         value: Any,
         expected: int,
     ) -> Result[StoredObject, PlatformError]:
-        """Write, and read back if the reply was lost.
+        """Write an object, and read it back if the reply was lost.
 
-        The value has to be one that no other writer would write, or a
-        success of another could be taken for one's own.
+        The value must be one that no other writer would store. Otherwise the
+        write of another writer could be mistaken for this one.
         """
         written = await self.write(kind, name, value, expected)
         match written:
@@ -205,12 +206,12 @@
         since: int,
         seconds: float,
     ) -> Result[ObjectList, PlatformError]:
-        """Wait for changes of a kind after a revision.
+        """Wait for changes to objects of a kind after a revision.
 
         Args:
-            kind: The kind to watch.
-            since: Revision of the last list or watch.
-            seconds: Longest wait; the answer is then empty.
+            kind: Kind to watch.
+            since: Revision of the previous list or watch.
+            seconds: Longest wait; without changes the result is empty.
         """
         path = f'/watch/{kind}?since={since}&seconds={seconds}'
         answer = await self._call('GET', path, extra_seconds=seconds)
@@ -222,7 +223,7 @@
         )
 
     async def hosts(self) -> Result[tuple[ListedHost, ...], PlatformError]:
-        """Read the platform's list of hosts, which lags."""
+        """Read the platform's list of hosts, which may be outdated."""
         answer = await self._call('GET', '/hosts')
         return answer.map(
             lambda reply: tuple(
@@ -231,8 +232,8 @@
         )
 
     def cut(self) -> None:
-        """Send all further calls to a port where nobody listens."""
-        self._url = NOWHERE
+        """Make all further calls fail, by a URL where nothing listens."""
+        self._url = UNREACHABLE_URL
 
     def close(self) -> None:
         """Close all connections."""
@@ -254,9 +255,9 @@
             case Ok(StoredObject() as stored) if stored.version > expected:
                 return Err(VersionConflict(name))
             case Ok() | Err(ObjectMissing()):
-                # Not applied so far, but a late write may still arrive: the
-                # caller must treat the outcome as unknown.
-                return Err(PlatformUnavailable('the reply to a write is lost'))
+                # Not applied so far, but the write may still be in transit:
+                # the caller must treat the outcome as unknown.
+                return Err(PlatformUnavailable('no reply to a write'))
             case _:
                 return found
 
@@ -282,15 +283,15 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except (OSError, HTTPClientError) as error:
-            # raise_error=False covers statuses only: a refused connection
-            # still raises.
+            # raise_error=False applies to HTTP statuses only; connection
+            # errors are still raised.
             response = HTTPResponse(request, 599, error=error)
-        answer = _judge(response, path)
+        answer = _result_of(response, path)
         self._count_call('ok' if answer.is_ok() else 'failed')
         return answer
 
 
-def _judge(response: HTTPResponse, path: str) -> Result[Any, PlatformError]:
+def _result_of(response: HTTPResponse, path: str) -> Result[Any, PlatformError]:
     match response.code:
         case 200:
             return _decoded(response)
@@ -309,7 +310,7 @@
     try:
         return Ok(json.loads(response.body))
     except ValueError:
-        return Err(PlatformUnavailable('the answer is not JSON'))
+        return Err(PlatformUnavailable('the response is not JSON'))
 
 
 def _stored(reply: Any) -> StoredObject:
--- a/src/wardstair/process/probing.py
+++ b/src/wardstair/process/probing.py
@@ -1,8 +1,9 @@
-"""Asks upstreams for their load and readiness.
+"""Probes the load and readiness of upstreams.
 
-Reports may lag or mislead: they lower trust and never raise a limit. In a
-zone, one host probes each upstream with every beat, chosen by rendezvous;
-all hosts probe those that they have ejected.
+What an upstream reports may be outdated or wrong. It can therefore only reduce
+the traffic of an upstream, never raise its limit. Rendezvous hashing assigns
+each upstream of a zone to one host, which probes it every two seconds; a host
+also probes the upstreams that it has ejected itself.
 """
 
 import asyncio
@@ -21,27 +22,27 @@
 
 
 class Prober:
-    """Probes the zone's upstreams that fall to this host."""
+    """Probes the upstreams that are assigned to this host."""
 
     def __init__(self, client: CurlAsyncHTTPClient, pool: SlotPool) -> None:
-        """Prepare a prober.
+        """Create a prober.
 
         Args:
-            client: The process's curl client.
-            pool: Told what the probes find.
+            client: HTTP client of the process.
+            pool: Slot pool that receives the results.
         """
         self.select_assigned: Callable[[list[str]], list[str]] = list
         self.on_leaving_upstream: Callable[[], None] = lambda: None
         self._client = client
         self._pool = pool
-        self._untold: dict[str, UpstreamReport] = {}
+        self._unsent: dict[str, UpstreamReport] = {}
         self._running: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         """Probe until cancelled."""
         while True:
-            mine = self.select_assigned(list(self._pool.views))
-            names = [name for name in mine if name in self._pool.views]
+            assigned = self.select_assigned(list(self._pool.views))
+            names = [name for name in assigned if name in self._pool.views]
             names += self._ejected(names)
             pause = PROBE_SECONDS / max(len(names), 1)
             for name in names:
@@ -53,39 +54,39 @@
                 await asyncio.sleep(PROBE_SECONDS)
 
     async def stop(self) -> None:
-        """End the probes that are under way."""
+        """Cancel the probes that are in progress."""
         running = list(self._running)
         for task in running:
             task.cancel()
         await asyncio.gather(*running, return_exceptions=True)
 
     async def probe(self, name: str) -> None:
-        """Probe one upstream and note what it says."""
+        """Probe an upstream and record its report."""
         view = self._pool.views.get(name)
         if view is None:
             return
-        report = await self._ask(name, view.model.address)
+        report = await self._fetch_report(name, view.model.address)
         if report is None:
             return
-        self._untold[name] = report
+        self._unsent[name] = report
         self.note(report)
         if report.is_leaving:
-            # New work must stop within seconds on every host of the zone.
+            # All hosts of the zone must stop sending to it within seconds.
             self.on_leaving_upstream()
         if not view.health.may_serve(time.monotonic()):
             self._pool.forget_failures(name)
 
     def note(self, report: UpstreamReport) -> None:
-        """Take in a report of this host or of another of the zone."""
+        """Record a report that this host or a peer of the zone received."""
         self._pool.note_report(report.upstream, report.load)
         if report.is_leaving:
             self._pool.note_leaving(report.upstream)
 
     def take_reports(self) -> tuple[UpstreamReport, ...]:
-        """Return the reports that the zone has not been told yet."""
-        untold = tuple(self._untold.values())
-        self._untold.clear()
-        return untold
+        """Return and clear the reports not yet sent to the zone's hosts."""
+        unsent = tuple(self._unsent.values())
+        self._unsent.clear()
+        return unsent
 
     def _ejected(self, chosen: list[str]) -> list[str]:
         return [
@@ -94,7 +95,9 @@
             if view.health.failures and name not in chosen
         ]
 
-    async def _ask(self, name: str, address: str) -> UpstreamReport | None:
+    async def _fetch_report(
+        self, name: str, address: str
+    ) -> UpstreamReport | None:
         request = HTTPRequest(
             f'http://{address}/health',
             connect_timeout=PROBE_TIMEOUT_SECONDS,
--- a/tests/unit/test_metrics_page.py
+++ b/tests/unit/test_metrics_page.py
@@ -1,9 +1,9 @@
-"""What a page of metrics begins with: some collectors keep only that."""
+"""Order of the metrics page; some collectors keep only its beginning."""
 
 from wardstair.process.metrics import Metrics
 
 
-def test_refusals_come_before_what_a_host_believes() -> None:
+def test_refusals_precede_gauges() -> None:
     metrics = Metrics()
     metrics.add_gauge('wardstair_belief', 'A belief', lambda: [(1.0, {})])
     metrics.render()
