--- a/src/wardstair/process/fleet.py
+++ b/src/wardstair/process/fleet.py
@@ -93,7 +93,7 @@
     def adopt(self, topology: Topology) -> None:
         """Apply the hosts of a new version, and announce the version."""
         self._topology = topology
-        self._links.keep(
+        self._links.keep_linked(
             [
                 PeerAddress(host.name, host.peers)
                 for host in topology.zone_hosts(self._zone)
@@ -418,7 +418,7 @@
         message = ZoneGossip(tuple(self.zones.outgoing(now)))
         for host in self._gossip_partners():
             if not self._links.send(host.name, message):
-                self._links.reach(PeerAddress(host.name, host.peers))
+                self._links.open_link(PeerAddress(host.name, host.peers))
 
     def _gossip_partners(self) -> list[HostModel]:
         assert self._topology is not None
