--- a/src/wardstair/cli/explain.py
+++ b/src/wardstair/cli/explain.py
@@ -5,7 +5,7 @@
 import fire
 
 from wardstair.cli.tables import print_rows
-from wardstair.process.story import Cause, tell_story
+from wardstair.process.request_history import Cause, collect_history
 from wardstair.process.summary import CauseCount, summarize
 
 
@@ -41,7 +41,7 @@
 
 
 def _print_story(request_id: str) -> None:
-    story = tell_story(sys.stdin, request_id)
+    story = collect_history(sys.stdin, request_id)
     print(f'request {request_id}: {story.cause}')
     for line in story.lines:
         print(f'  {line.text()}')
@@ -49,7 +49,7 @@
         print('upstreams it was sent to, before and meanwhile:')
     for line in story.context:
         print(f'  {line.text()}')
-    if story.cause is Cause.untold:
+    if story.cause is Cause.unlogged:
         sys.exit(1)
 
 
--- a/src/wardstair/process/host.py
+++ b/src/wardstair/process/host.py
@@ -37,7 +37,7 @@
 from wardstair.process.settings import (
     EntrySettings,
 )
-from wardstair.process.shifting import ShiftPacer
+from wardstair.process.shifting import ShiftRampController
 from wardstair.process.slots import SlotPool
 from wardstair.process.supervision import Supervisor
 from wardstair.process.tokens import TokenBook
@@ -161,7 +161,7 @@
             self.journal,
             self.metrics,
         )
-        self.pacer = ShiftPacer(self.fleet)
+        self.pacer = ShiftRampController(self.fleet)
         self.prober = Prober(self._client, self.pool)
         self._dispatcher = Dispatcher(
             self._inbox,
@@ -420,7 +420,7 @@
         self.loans.on_gain = self.pool.serve_waiting
         self.loans.demand = self.pool.demand
         self.pool.on_shortage = self.loans.shortage
-        self.pool.on_return = self.loans.give_back
+        self.pool.on_loan_return = self.loans.give_back
         self.pool.on_release = self.loans.on_release
         add_entry_gauges(self)
 
--- a/src/wardstair/process/story.py
+++ b/src/wardstair/process/request_history.py
@@ -70,7 +70,7 @@
         'it has not run: the host had no contact with the store and could not '
         'check its API key'
     )
-    refused_no_home = (
+    refused_no_region = (
         'it has not run: the route and the organisation allow no region in '
         'common'
     )
@@ -82,7 +82,7 @@
     timed_out = 'it may have run: its time was up while an upstream was at it'
     left = 'the caller left before the answer'
     fault = 'a fault of the entry host ended it; see its error'
-    untold = 'the log does not tell its end; it may be thinned or not whole'
+    unlogged = 'the log does not tell its end; it may be thinned or not whole'
 
 
 # By kind of the last line and its reason; no reason stands for all others.
@@ -94,7 +94,7 @@
     ('request-refused', 'ends-upstreams'): Cause.refused_harmful,
     ('request-refused', 'outcome-unknown'): Cause.unknown,
     ('request-refused', 'deadline-passed'): Cause.timed_out,
-    ('request-refused', 'no-home'): Cause.refused_no_home,
+    ('request-refused', 'no-home'): Cause.refused_no_region,
     ('request-over-quota', ''): Cause.refused_quota,
     ('request-unauthorised', 'unverified'): Cause.refused_unverified,
     ('request-unauthorised', ''): Cause.refused_key,
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
+class RequestHistory:
     """What a log tells of a request.
 
     Attributes:
@@ -157,7 +157,9 @@
     return None if event is None else LogLine(event, fields)
 
 
-def tell_story(raw_lines: Iterable[str], request_id: str) -> Story:
+def collect_history(
+    raw_lines: Iterable[str], request_id: str
+) -> RequestHistory:
     """Return the story of a request.
 
     Args:
@@ -172,7 +174,7 @@
     ]
     own = [parsed[position] for position in positions]
     if not own:
-        return Story(Cause.untold)
+        return RequestHistory(Cause.unlogged)
     begin = max(0, positions[0] - CONTEXT_LINES)
     named = _upstreams(own)
     process = own[-1].fields.get('process')
@@ -183,7 +185,7 @@
         and line.fields.get('upstream') in named
         and line.fields.get('process') == process
     ]
-    return Story(cause_of(own[-1]), own, context)
+    return RequestHistory(cause_of(own[-1]), own, context)
 
 
 def cause_of(last: LogLine) -> Cause:
@@ -191,7 +193,7 @@
     if last.event == 'request-answered':
         return _answered_cause(last)
     known = _CAUSES.get((last.event, last.fields.get('reason', '')))
-    return known or _CAUSES.get((last.event, ''), Cause.untold)
+    return known or _CAUSES.get((last.event, ''), Cause.unlogged)
 
 
 def _upstreams(lines: Sequence[LogLine]) -> set[str]:
--- a/src/wardstair/process/shifting.py
+++ b/src/wardstair/process/shifting.py
@@ -12,7 +12,7 @@
 SETTLE_FACTOR = 1.5
 
 
-class ShiftPacer:
+class ShiftRampController:
     """Keeps the pace of each shift in force."""
 
     def __init__(self, fleet: Fleet) -> None:
--- a/src/wardstair/process/sink.py
+++ b/src/wardstair/process/sink.py
@@ -10,9 +10,9 @@
 from collections import deque
 
 # At some 200 bytes a line this is under a megabyte.
-MOST_LINES = 4000
+MAX_QUEUED_LINES = 4000
 # Lines written at once, so that one turn of the event loop stays short.
-LINES_A_WRITE = 200
+LINES_PER_WRITE = 200
 # How soon a reader that was full is tried again.
 RETRY_SECONDS = 0.05
 
@@ -20,16 +20,18 @@
 class LineSink:
     """Writes lines to a file descriptor without waiting for its reader."""
 
-    def __init__(self, descriptor: int, most: int = MOST_LINES) -> None:
+    def __init__(
+        self, descriptor: int, max_lines: int = MAX_QUEUED_LINES
+    ) -> None:
         """Prepare the descriptor, which is made non-blocking.
 
         Args:
             descriptor: Where lines go.
-            most: Most lines that wait.
+            max_lines: Most lines that wait.
         """
         self.dropped = 0
         self._descriptor = descriptor
-        self._most = most
+        self._max_lines = max_lines
         self._lines: deque[bytes] = deque()
         self._untold = 0
         self._is_scheduled = False
@@ -42,7 +44,7 @@
 
     def write(self, line: str) -> None:
         """Take a line with its end; it is written soon or dropped."""
-        if len(self._lines) >= self._most:
+        if len(self._lines) >= self._max_lines:
             self.dropped += 1
             self._untold += 1
             return
@@ -54,7 +56,7 @@
         while self._lines:
             batch = [
                 self._lines.popleft()
-                for _ in range(min(LINES_A_WRITE, len(self._lines)))
+                for _ in range(min(LINES_PER_WRITE, len(self._lines)))
             ]
             if not self._write(b''.join(batch)):
                 return
--- a/src/wardstair/process/slots.py
+++ b/src/wardstair/process/slots.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True)
-class SlotWish:
+class SlotRequest:
     """What a request needs.
 
     Attributes:
@@ -94,7 +94,7 @@
 
 @dataclass
 class _Waiting:
-    wish: SlotWish
+    wish: SlotRequest
     ready: asyncio.Future[HeldSlot | None]
 
 
@@ -111,7 +111,7 @@
         self.views: dict[str, UpstreamView] = {}
         self.on_shortage: Callable[[str], None] = lambda upstream: None
         self.on_release: Callable[[str], None] = lambda upstream: None
-        self.on_return: Callable[[str, LoanReturn], None] = (
+        self.on_loan_return: Callable[[str, LoanReturn], None] = (
             lambda upstream, loan: None
         )
         self._random = random
@@ -182,7 +182,7 @@
             if view.health.may_serve(now)
         )
 
-    def has_upstream(self, wish: SlotWish) -> bool:
+    def has_upstream(self, wish: SlotRequest) -> bool:
         """Return whether waiting can help: some upstream may serve."""
         now = time.monotonic()
         return any(
@@ -190,7 +190,7 @@
             for view in self.of_workload(wish.workload)
         )
 
-    def take(self, wish: SlotWish) -> HeldSlot | None:
+    def take(self, wish: SlotRequest) -> HeldSlot | None:
         """Take a slot of the best upstream, or return None."""
         now = time.monotonic()
         views = list(self.of_workload(wish.workload))
@@ -206,7 +206,7 @@
             self.on_shortage(chosen.name)
         return HeldSlot(view.model, slot, view.ledger)
 
-    async def wait(self, wish: SlotWish, seconds: float) -> HeldSlot | None:
+    async def wait(self, wish: SlotRequest, seconds: float) -> HeldSlot | None:
         """Wait for a slot; None if none came free in time.
 
         Args:
@@ -236,7 +236,7 @@
             timer.cancel()
             self._remove(number)
 
-    def give_back(self, held: HeldSlot) -> None:
+    def release(self, held: HeldSlot) -> None:
         """End the work on a slot and serve who waits."""
         loan = held.ledger.put_back(
             held.slot.token,
@@ -244,7 +244,7 @@
             keeps_loans=self.demand(held.upstream.workload) > 0,
         )
         if loan is not None:
-            self.on_return(held.upstream.name, loan)
+            self.on_loan_return(held.upstream.name, loan)
         self.on_release(held.upstream.name)
         self.serve_waiting()
 
@@ -317,7 +317,7 @@
             return
         held = waiting.ready.result()
         if held is not None:
-            self.give_back(held)
+            self.release(held)
 
     def _remove(self, number: int) -> None:
         self._line.remove(number)
--- a/src/wardstair/process/summary.py
+++ b/src/wardstair/process/summary.py
@@ -5,7 +5,12 @@
 from dataclasses import dataclass
 from statistics import median
 
-from wardstair.process.story import Cause, LogLine, cause_of, parse_line
+from wardstair.process.request_history import (
+    Cause,
+    LogLine,
+    cause_of,
+    parse_line,
+)
 
 # Lines that end a request.
 _ENDS = frozenset(
--- a/src/wardstair/process/views.py
+++ b/src/wardstair/process/views.py
@@ -11,7 +11,7 @@
 from wardstair.process.settings import HostSettings
 from wardstair.process.slots import SlotPool
 
-AGE_MOST_SECONDS = 1e6
+MAX_AGE_SECONDS = 1e6
 _MILLISECONDS = 1000
 
 
@@ -44,7 +44,7 @@
             'region': self._place.region,
             'version': self._configuration.version,
             'config_age': round(
-                min(self._configuration.age, AGE_MOST_SECONDS), 1
+                min(self._configuration.age, MAX_AGE_SECONDS), 1
             ),
             'fenced': self._capacity.is_fenced,
             'waiting': self._pool.waiting,
@@ -73,7 +73,7 @@
                 'state': 'serving' if view.health.may_serve(now) else 'out',
                 'reported_load': round(view.reported_load, 2),
                 'report_age': round(
-                    min(now - view.reported_at, AGE_MOST_SECONDS), 1
+                    min(now - view.reported_at, MAX_AGE_SECONDS), 1
                 ),
             }
             for view in self._pool.views.values()
--- a/src/wardstair/request/forwarding.py
+++ b/src/wardstair/request/forwarding.py
@@ -35,7 +35,7 @@
 from wardstair.errors import Refusal
 from wardstair.process.journal import JournalEntry
 from wardstair.process.metrics import Metrics
-from wardstair.process.slots import HeldSlot, SlotPool, SlotWish
+from wardstair.process.slots import HeldSlot, SlotPool, SlotRequest
 from wardstair.request import problem
 from wardstair.request.call import (
     AnswerSink,
@@ -192,7 +192,7 @@
             return NoPlace(
                 problem.deadline_passed(not_run=not progress.ran),
             )
-        wish = SlotWish(
+        wish = SlotRequest(
             call.route.workload.name,
             call.route.workload.importance,
             NO_DEADLINE if call.deadline is None else call.deadline,
@@ -211,7 +211,7 @@
                 return RemotePlace(host)
         return await self._wait(wish, progress)
 
-    async def _wait(self, wish: SlotWish, progress: _Progress) -> Place:
+    async def _wait(self, wish: SlotRequest, progress: _Progress) -> Place:
         not_run = not progress.ran
         if not self._pool.has_upstream(wish):
             return NoPlace(self._exhausted(wish, progress))
@@ -220,7 +220,7 @@
             return LocalPlace(held)
         return NoPlace(problem.overloaded(1, not_run=not_run))
 
-    def _exhausted(self, wish: SlotWish, progress: _Progress) -> Refusal:
+    def _exhausted(self, wish: SlotRequest, progress: _Progress) -> Refusal:
         not_run = not progress.ran
         if progress.attempts:
             return problem.upstream_failed(
@@ -245,7 +245,7 @@
         finally:
             self.open_exchanges.discard(exchange)
             if isinstance(place, LocalPlace):
-                self._pool.give_back(place.held)
+                self._pool.release(place.held)
         if isinstance(place, LocalPlace):
             seconds = time.monotonic() - started
             self._note(place.held.upstream.name, outcome, relay, seconds)
--- a/tests/functional/test_explain.py
+++ b/tests/functional/test_explain.py
@@ -10,7 +10,11 @@
 from lib.upstream_standin import Seen, UpstreamStandin, answer_full, answer_ok
 from loguru import logger
 
-from wardstair.process.story import Cause, Story, tell_story
+from wardstair.process.request_history import (
+    Cause,
+    RequestHistory,
+    collect_history,
+)
 
 FORMAT = 'time={time:HH:mm:ss.SSS} level={level} {message}'
 Test = Callable[[Rig], Awaitable[None]]
@@ -27,7 +31,7 @@
         logger.remove(number)
 
 
-def story_of(test: Test, *upstreams: UpstreamStandin) -> Story:
+def story_of(test: Test, *upstreams: UpstreamStandin) -> RequestHistory:
     """Run a test and return the story of the request r1."""
 
     async def main() -> None:
@@ -36,7 +40,7 @@
 
     with logged() as lines:
         asyncio.run(main())
-    return tell_story(lines, 'r1')
+    return collect_history(lines, 'r1')
 
 
 async def breaks_off(
@@ -117,4 +121,4 @@
     ['', 'no line of ours', 'event="cut', 'time=1 event=request-answered'],
 )
 def test_what_the_log_does_not_tell(raw: str) -> None:
-    assert tell_story([raw], 'r1').cause is Cause.untold
+    assert collect_history([raw], 'r1').cause is Cause.unlogged
--- a/tests/unit/test_sink.py
+++ b/tests/unit/test_sink.py
@@ -25,7 +25,7 @@
     lines = 20000
 
     async def main() -> None:
-        sink = LineSink(writer, most=100)
+        sink = LineSink(writer, max_lines=100)
         for number in range(lines):
             sink.write(f'event=line number={number}\n')
             if number % 500 == 0:
--- a/tests/unit/test_summary.py
+++ b/tests/unit/test_summary.py
@@ -6,7 +6,7 @@
 import pytest
 
 from wardstair.cli.explain import explain
-from wardstair.process.story import Cause
+from wardstair.process.request_history import Cause
 from wardstair.process.summary import CauseCount, summarize
 
 ANSWERED = (
