--- a/src/wardstair/process/request_history.py
+++ b/src/wardstair/process/request_history.py
@@ -1,14 +1,14 @@
-"""The story of one request, put together from the log of the entry hosts."""
+"""The history of one request, collected from the logs of entry hosts."""
 
 import shlex
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-# How long before a request's first line what happened to its upstreams and to
-# the host still explains it, in lines of the same log.
+# Lines before the first one of a request that are searched for events of its
+# upstreams.
 CONTEXT_LINES = 4000
-_CONTEXT = frozenset(
+_CONTEXT_EVENTS = frozenset(
     (
         'upstream-changed',
         'upstream-missing',
@@ -28,26 +28,26 @@
         'lately, so the key was probably not warm there'
     )
     late_queue = (
-        'it was late: the upstream had more requests than slots when it came'
+        'it was late: all slots of the upstream were in use when it arrived'
     )
     late_slow = 'it was late: the upstream worked slower than was expected'
-    late_again = 'it was late: a first send failed and a second one was made'
+    late_again = 'it was late: the first attempt failed and it was sent again'
     refused_full = (
         'it has not run: no upstream of its service had room; the caller was '
         'told when to come back'
     )
     refused_shed = (
-        'it has not run: the upstreams that it was sent to turned it away '
-        'though they had room; the caller was told to come back at once'
+        'it has not run: the upstreams that it was sent to rejected it '
+        'although they had capacity; the caller was told to come back at once'
     )
     refused_limits = (
-        'it has not run: all upstreams of its service name a limit, and this '
-        'host may send them no more for now; the caller was told when to come '
-        'back'
+        'it has not run: all upstreams of its service report a rate limit, and '
+        'this host may not send them more for now; the caller was told when '
+        'to come back'
     )
     refused_gone = (
-        'it has not run: no connection to an upstream came up; the caller '
-        'was told when to come back'
+        'it has not run: no connection to an upstream could be opened; the '
+        'caller was told when to come back'
     )
     refused_memory = (
         'it has not run: the host held as many bodies as its memory allows; '
@@ -55,37 +55,39 @@
     )
     refused_harmful = (
         'it has not run: upstreams ended under the same request before; '
-        '`request-held` names them, `wardstair-suspects` lifts it'
+        '`request-held` names them, `wardstair-suspects` removes the block'
     )
-    refused_start = 'it has not run: the host knew no configuration yet'
+    refused_start = 'it has not run: the host had no configuration yet'
     refused_key = (
-        'it has not run: its API key is missing or not in force; '
-        '`request-unauthorised` says which'
+        'it has not run: its API key is missing or not in force; the reason is '
+        'in `request-unauthorised`'
     )
     refused_quota = (
-        'it has not run: the quota of its organisation is used up; the caller '
-        'was told when to come back'
+        'it has not run: the quota of its organisation is exhausted; the '
+        'caller was told when to come back'
     )
     refused_unverified = (
         'it has not run: the host had no contact with the store and could not '
-        'check its API key'
+        'verify its API key'
     )
     refused_no_region = (
         'it has not run: the route and the organisation allow no region in '
         'common'
     )
-    no_route = 'it has not run: no route of the version in force covers it'
+    no_route = 'it has not run: no route of the version in force matches it'
     unknown = (
         'it may have run: an upstream that it was sent to broke off, and it '
         'may not be sent twice'
     )
-    timed_out = 'it may have run: its time was up while an upstream was at it'
-    left = 'the caller left before the answer'
-    fault = 'a fault of the entry host ended it; see its error'
-    unlogged = 'the log does not tell its end; it may be thinned or not whole'
+    timed_out = (
+        'it may have run: its deadline passed while an upstream processed it'
+    )
+    left = 'the caller closed its connection before the answer'
+    fault = 'an internal error of the entry host ended it; see its error'
+    unlogged = 'the log does not show its end; it may be thinned or incomplete'
 
 
-# By kind of the last line and its reason; no reason stands for all others.
+# By event and reason of the last line; an empty reason matches all others.
 _CAUSES = {
     ('request-refused', 'overloaded'): Cause.refused_full,
     ('request-refused', 'turned-away'): Cause.refused_shed,
@@ -111,15 +113,15 @@
     """One line of a log.
 
     Attributes:
-        event: Its kind.
-        fields: Its fields by name, `time` among them.
+        event: Name of its event.
+        fields: Its fields by name, including `time`.
     """
 
     event: str
     fields: dict[str, str]
 
     def text(self) -> str:
-        """Return the line for people."""
+        """Return the line in readable form."""
         rest = ' '.join(
             f'{name}={value}'
             for name, value in self.fields.items()
@@ -130,12 +132,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHistory:
-    """What a log tells of a request.
+    """The part of a log that concerns a request.
 
     Attributes:
         cause: Why it ended as it did.
-        lines: Its own lines, in order.
-        context: Lines on the upstreams it was sent to, before and meanwhile.
+        lines: Lines of the request, in order.
+        context: Lines about its upstreams, from shortly before the request
+            until its end.
     """
 
     cause: Cause
@@ -144,13 +147,13 @@
 
 
 def parse_line(raw: str) -> LogLine | None:
-    """Parse a line; None if it is not one of ours."""
+    """Parse a line; None if it is not an event of this program."""
     if 'event=' not in raw:
         return None
     try:
         words = shlex.split(raw)
     except ValueError:
-        # A line that was cut: quotes that do not close.
+        # The line is truncated inside a quoted value.
         return None
     fields = dict(word.split('=', 1) for word in words if '=' in word)
     event = fields.get('event')
@@ -160,11 +163,11 @@
 def collect_history(
     raw_lines: Iterable[str], request_id: str
 ) -> RequestHistory:
-    """Return the story of a request.
+    """Collect the history of a request.
 
     Args:
-        raw_lines: The log, of one host or of several.
-        request_id: The caller's name of its try.
+        raw_lines: Log lines of one host or of several.
+        request_id: Id that the caller gave this attempt.
     """
     parsed = [line for raw in raw_lines if (line := parse_line(raw))]
     positions = [
@@ -172,20 +175,20 @@
         for position, line in enumerate(parsed)
         if line.fields.get('request') == request_id
     ]
-    own = [parsed[position] for position in positions]
-    if not own:
+    request_lines = [parsed[position] for position in positions]
+    if not request_lines:
         return RequestHistory(Cause.unlogged)
-    begin = max(0, positions[0] - CONTEXT_LINES)
-    named = _upstreams(own)
-    process = own[-1].fields.get('process')
+    start = max(0, positions[0] - CONTEXT_LINES)
+    named = _upstreams(request_lines)
+    process = request_lines[-1].fields.get('process')
     context = [
         line
-        for line in parsed[begin : positions[-1] + 1]
-        if line.event in _CONTEXT
+        for line in parsed[start : positions[-1] + 1]
+        if line.event in _CONTEXT_EVENTS
         and line.fields.get('upstream') in named
         and line.fields.get('process') == process
     ]
-    return RequestHistory(cause_of(own[-1]), own, context)
+    return RequestHistory(cause_of(request_lines[-1]), request_lines, context)
 
 
 def cause_of(last: LogLine) -> Cause:
--- a/src/wardstair/process/settings.py
+++ b/src/wardstair/process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process, read from TOML and checked."""
+"""Settings of one process, read from TOML and validated."""
 
 from pathlib import Path
 from typing import Annotated
@@ -17,7 +17,7 @@
 
 
 class TlsSettings(_Model):
-    """Files of a TLS listener; `authority` asks peers for certificates."""
+    """Files of a TLS listener; `authority` requires client certificates."""
 
     certificate: Path
     key: Path
@@ -25,7 +25,7 @@
 
 
 class ListenSettings(_Model):
-    """One listener."""
+    """Address of a listener and whether it uses TLS."""
 
     address: Address
     tls: TlsSettings | None = None
@@ -42,7 +42,7 @@
 
 
 class HostSettings(_Model):
-    """Where this process stands."""
+    """Name and location of this process."""
 
     name: Name
     zone: Name
@@ -50,7 +50,7 @@
 
 
 class PlatformSettings(_Model):
-    """How the platform's object API is reached."""
+    """Access to the platform's object API."""
 
     url: Annotated[str, Field(pattern='^https?://')]
     timeout_seconds: Annotated[float, Field(gt=0)] = 2.0
@@ -58,7 +58,7 @@
 
 
 class LimitSettings(_Model):
-    """Bounds that protect this process."""
+    """Limits that protect this process from overload."""
 
     once_body_bytes: Annotated[int, Field(ge=1)] = 1048576
     once_keys: Annotated[int, Field(ge=1)] = 20000
@@ -69,9 +69,9 @@
 
 
 class TimingSettings(_Model):
-    """How often control speaks; the same on all hosts of a deployment.
+    """Heartbeat interval; the same on all hosts of a deployment.
 
-    A zone tells the others about itself every second beat.
+    A zone reports its state to the other zones at every second heartbeat.
     """
 
     beat_seconds: Annotated[float, Field(gt=0, le=2)] = 1.0
@@ -107,20 +107,20 @@
 
     Args:
         content: Mapping as read from TOML.
-        source: Name to show in faults.
+        source: Name of the file in error messages.
     """
     try:
         settings = EntrySettings.model_validate(content)
     except ValidationError as error:
         return Err(faults_of(error, source))
     faults = [
-        *_plain_faults(settings, source),
+        *_missing_tls_faults(settings, source),
         *_tls_faults(settings, source),
     ]
     return Err(faults) if faults else Ok(settings)
 
 
-def _plain_faults(settings: EntrySettings, source: str) -> list[Fault]:
+def _missing_tls_faults(settings: EntrySettings, source: str) -> list[Fault]:
     listeners = {
         'callers': settings.listen.callers,
         'peers': settings.listen.peers,
@@ -132,7 +132,7 @@
             source,
             f'listen.{name}.tls',
             f'{listener.address} is not loopback and has no TLS',
-            'give certificate and key, or set allow_plain = true',
+            'set certificate and key, or set allow_plain = true',
         )
         for name, listener in listeners.items()
         if listener.tls is None
@@ -142,7 +142,7 @@
 
 
 def _tls_faults(settings: EntrySettings, source: str) -> list[Fault]:
-    between = {
+    host_listeners = {
         'peers': settings.listen.peers,
         'forward': settings.listen.forward,
     }
@@ -150,9 +150,9 @@
         Fault(
             source,
             f'listen.{name}.tls',
-            'TLS between entry hosts is not built yet',
-            'remove it, and keep this listener on a network of your own',
+            'TLS between entry hosts is not supported yet',
+            'remove it, and keep this listener on a private network',
         )
-        for name, listener in between.items()
+        for name, listener in host_listeners.items()
         if listener.tls is not None
     ]
--- a/src/wardstair/process/shifting.py
+++ b/src/wardstair/process/shifting.py
@@ -1,4 +1,4 @@
-"""Paces the shifts that start in this region, on this host's look-ups."""
+"""Ramps the shifts that start in this region, on this host's look-ups."""
 
 import time
 
@@ -9,63 +9,66 @@
 from wardstair.version.resources import shifts_to
 from wardstair.version.topology import CappedShift, Topology
 
+# Time until a step takes full effect, in lifetimes of a look-up answer.
 SETTLE_FACTOR = 1.5
 
 
 class ShiftRampController:
-    """Keeps the pace of each shift in force."""
+    """Controls the ramp of each shift in force."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Start without shifts.
+        """Create a controller without shifts.
 
         Args:
-            fleet: Reports of the targets.
+            fleet: Source of the reports from target regions.
         """
-        self.paces: dict[str, ShiftRamp] = {}
+        self.ramps: dict[str, ShiftRamp] = {}
         self._fleet = fleet
 
     def decide(
         self,
         topology: Topology,
     ) -> dict[tuple[str, str], ShiftShare]:
-        """Return the shares of look-ups by workload and source region."""
+        """Return the share of each shift, by workload and source region."""
         now = time.monotonic()
         names = {shift.name for shift in topology.shifts}
-        for gone in self.paces.keys() - names:
-            self.paces.pop(gone)
+        for ended in self.ramps.keys() - names:
+            self.ramps.pop(ended)
         return {
             (shift.workload, shift.source): ShiftShare(
                 shift.target,
-                self._paced(topology, shift, now).per_mille,
+                self._advance(topology, shift, now).per_mille,
             )
             for shift in topology.shifts
         }
 
-    def _paced(
+    def _advance(
         self,
         topology: Topology,
         shift: CappedShift,
         now: float,
     ) -> ShiftRamp:
-        before = self.paces.get(shift.name, ShiftRamp())
-        settle = topology.document.lookup_ttl_seconds * SETTLE_FACTOR
-        target = self._target(topology, shift)
-        pace = next_ramp(before, target, shift.cap, settle, now)
-        self.paces[shift.name] = pace
-        if pace.per_mille != before.per_mille:
+        previous = self.ramps.get(shift.name, ShiftRamp())
+        settle_seconds = topology.document.lookup_ttl_seconds * SETTLE_FACTOR
+        target = self._target_view(topology, shift)
+        ramp = next_ramp(previous, target, shift.cap, settle_seconds, now)
+        self.ramps[shift.name] = ramp
+        if ramp.per_mille != previous.per_mille:
             log_event(
                 'shift-paced',
                 shift=shift.name,
-                per_mille=pace.per_mille,
-                movement=pace.movement,
+                per_mille=ramp.per_mille,
+                movement=ramp.movement,
                 in_flight=target.in_flight,
                 free=target.free,
             )
-        return pace
+        return ramp
 
-    def _target(self, topology: Topology, shift: CappedShift) -> TargetView:
-        there = shifts_to(topology, shift.target)
-        position = [one.name for one in there].index(shift.name)
+    def _target_view(
+        self, topology: Topology, shift: CappedShift
+    ) -> TargetView:
+        incoming = shifts_to(topology, shift.target)
+        position = [other.name for other in incoming].index(shift.name)
         zones = [
             zone
             for zone, region in topology.zone_regions.items()
--- a/src/wardstair/process/sink.py
+++ b/src/wardstair/process/sink.py
@@ -1,58 +1,58 @@
-"""Standard output for log lines: bounded, and never waited for.
+"""Non-blocking output of log lines, with a bounded queue.
 
-Whoever reads the lines may be slow or stuck. Lines wait in a queue of bounded
-size; what does not fit is dropped and counted, and the next line that gets
-through is followed by one that tells how many are missing.
+The reader of the output may be slow or blocked. Lines wait in a queue of
+bounded size. Lines that do not fit are dropped and counted; once the queue is
+empty again, a line with the number of dropped lines is written.
 """
 
 import asyncio
 import os
 from collections import deque
 
-# At some 200 bytes a line this is under a megabyte.
+# Under a megabyte at about 200 bytes a line.
 MAX_QUEUED_LINES = 4000
-# Lines written at once, so that one turn of the event loop stays short.
+# Limit of lines per write, so that the event loop is not blocked for long.
 LINES_PER_WRITE = 200
-# How soon a reader that was full is tried again.
+# Delay before the next write to a full pipe.
 RETRY_SECONDS = 0.05
 
 
 class LineSink:
-    """Writes lines to a file descriptor without waiting for its reader."""
+    """Writes lines to a file descriptor without blocking."""
 
     def __init__(
         self, descriptor: int, max_lines: int = MAX_QUEUED_LINES
     ) -> None:
-        """Prepare the descriptor, which is made non-blocking.
+        """Make the descriptor non-blocking.
 
         Args:
-            descriptor: Where lines go.
-            max_lines: Most lines that wait.
+            descriptor: File descriptor to write to.
+            max_lines: Maximum number of queued lines.
         """
         self.dropped = 0
         self._descriptor = descriptor
         self._max_lines = max_lines
         self._lines: deque[bytes] = deque()
-        self._untold = 0
+        self._unreported = 0
         self._is_scheduled = False
         os.set_blocking(descriptor, False)
 
     @property
     def waiting(self) -> int:
-        """Lines that wait for the reader."""
+        """Number of queued lines."""
         return len(self._lines)
 
     def write(self, line: str) -> None:
-        """Take a line with its end; it is written soon or dropped."""
+        """Queue a line, including its newline, or drop it."""
         if len(self._lines) >= self._max_lines:
             self.dropped += 1
-            self._untold += 1
+            self._unreported += 1
             return
         self._lines.append(line.encode())
         self._schedule(0)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write queued lines until the descriptor would block."""
         while self._lines:
             batch = [
                 self._lines.popleft()
@@ -60,25 +60,25 @@
             ]
             if not self._write(b''.join(batch)):
                 return
-        if self._untold:
-            untold = self._untold
-            self._untold = 0
-            line = f'event=log-lines-dropped count={untold}\n'
+        if self._unreported:
+            unreported = self._unreported
+            self._unreported = 0
+            line = f'event=log-lines-dropped count={unreported}\n'
             self._write(line.encode())
 
     def _write(self, text: bytes) -> bool:
-        """Write bytes; keep what did not fit and return False then."""
+        """Write bytes; queue the rest and return False if not all fit."""
         try:
             written = os.write(self._descriptor, text)
         except BlockingIOError:
             written = 0
         except OSError:
-            # The reader is gone for good: there is nobody to tell.
+            # The reader is gone, so nothing can report the loss.
             self.dropped += text.count(b'\n')
             return True
         if written == len(text):
             return True
-        # One entry a line, so that what waits stays counted.
+        # One entry per line, so that the queue length counts lines.
         rest = text[written:].splitlines(keepends=True)
         self._lines.extendleft(reversed(rest))
         self._schedule(RETRY_SECONDS)
@@ -90,7 +90,7 @@
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
-            # Before the loop runs and after it has ended.
+            # The event loop has not started yet or has ended.
             self.flush()
             return
         self._is_scheduled = True
--- a/src/wardstair/process/slots.py
+++ b/src/wardstair/process/slots.py
@@ -1,4 +1,4 @@
-"""Slots of upstreams on one host: who has them, and who waits for them."""
+"""Pool of the upstream slots of one host, with a queue of waiting requests."""
 
 import asyncio
 import itertools
@@ -25,33 +25,34 @@
 from wardstair.version.document import UpstreamModel
 from wardstair.version.topology import Topology
 
+# Weight of a new sample in the moving average of the latency.
 LATENCY_WEIGHT = 0.2
-FIRST_LATENCY_SECONDS = 0.01
+INITIAL_LATENCY_SECONDS = 0.01
 FAILURE_LATENCY_SECONDS = 1.0
 
 
 @dataclass
 class UpstreamView:
-    """One upstream of the zone as this host sees it.
+    """State of one upstream of the zone, as known to this host.
 
     Attributes:
         model: Its configuration.
         ledger: The slots that this host holds.
-        health: Whether it gets new work.
-        latency: Smoothed latency in seconds.
-        reported_load: Last load report.
-        reported_at: Monotonic time of that report.
+        health: Health state, which decides whether it gets requests.
+        latency: Moving average of the latency in seconds.
+        reported_load: Load in its last report.
+        reported_at: Monotonic time of that report in seconds.
     """
 
     model: UpstreamModel
     ledger: Ledger
     health: UpstreamHealth = field(default_factory=UpstreamHealth)
-    latency: float = FIRST_LATENCY_SECONDS
+    latency: float = INITIAL_LATENCY_SECONDS
     reported_load: float = 0.0
     reported_at: float = float('-inf')
 
     def candidate(self, now: float) -> Candidate:
-        """Return the upstream as the choice sees it."""
+        """Return the upstream as a candidate for load balancing."""
         free = 0
         if self.health.may_serve(now):
             free = self.ledger.available(now)
@@ -77,13 +78,13 @@
 
 @dataclass(frozen=True)
 class SlotRequest:
-    """What a request needs.
+    """A request for a slot.
 
     Attributes:
-        workload: Its workload.
-        importance: 0 to 9.
-        deadline: Monotonic time after which it is useless.
-        tried: Upstreams that it must not go to again.
+        workload: Workload of the request to send.
+        importance: Its importance, 0 to 9.
+        deadline: Monotonic time in seconds after which an answer is useless.
+        tried: Upstreams that it must not be sent to again.
     """
 
     workload: str
@@ -93,20 +94,20 @@
 
 
 @dataclass
-class _Waiting:
-    wish: SlotRequest
+class _WaitingRequest:
+    request: SlotRequest
     ready: asyncio.Future[HeldSlot | None]
 
 
 class SlotPool:
-    """Hands out the slots of the upstreams in this host's zone."""
+    """Allocates the slots of the upstreams in this host's zone."""
 
     def __init__(self, waiting_limit: int, random: Random) -> None:
-        """Make a pool without upstreams.
+        """Create a pool without upstreams.
 
         Args:
-            waiting_limit: Most requests that wait for a slot at once.
-            random: Source of randomness of the choice.
+            waiting_limit: Maximum number of requests that wait for a slot.
+            random: Random number generator for choosing an upstream.
         """
         self.views: dict[str, UpstreamView] = {}
         self.on_shortage: Callable[[str], None] = lambda upstream: None
@@ -115,19 +116,19 @@
             lambda upstream, loan: None
         )
         self._random = random
-        self._line = WaitingQueue(waiting_limit)
-        self._waiting: dict[int, _Waiting] = {}
+        self._queue = WaitingQueue(waiting_limit)
+        self._waiting: dict[int, _WaitingRequest] = {}
         self._numbers = itertools.count(1)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait now."""
+        """Number of requests that wait for a slot."""
         return len(self._waiting)
 
     def demand(self, workload: str) -> int:
-        """Return how many requests of a workload wait now."""
+        """Return how many requests of a workload wait for a slot."""
         return sum(
-            waiting.wish.workload == workload
+            waiting.request.workload == workload
             for waiting in self._waiting.values()
         )
 
@@ -137,10 +138,10 @@
         zone: str,
         ledgers: Mapping[str, Ledger],
     ) -> None:
-        """Take over the upstreams of a new version.
+        """Update the upstreams to those of a new version.
 
         Args:
-            topology: The version.
+            topology: Topology of the version.
             zone: Zone of this host.
             ledgers: The slots that this host holds, by upstream.
         """
@@ -151,7 +152,7 @@
             if model.zone == zone
         }
         for name in self.views.keys() - models.keys():
-            # Slots in use end in peace: their holders keep the view.
+            # Slots in use stay valid: each HeldSlot refers to its ledger.
             self.views.pop(name)
         for model in models.values():
             view = self.views.get(model.name)
@@ -166,7 +167,7 @@
             )
 
     def of_workload(self, workload: str) -> Iterator[UpstreamView]:
-        """Return the upstreams of a workload in this zone."""
+        """Iterate over the upstreams of a workload in this zone."""
         return (
             view
             for view in self.views.values()
@@ -182,20 +183,20 @@
             if view.health.may_serve(now)
         )
 
-    def has_upstream(self, wish: SlotRequest) -> bool:
-        """Return whether waiting can help: some upstream may serve."""
+    def has_upstream(self, request: SlotRequest) -> bool:
+        """Return whether any upstream may serve the request."""
         now = time.monotonic()
         return any(
-            view.health.may_serve(now) and view.model.name not in wish.tried
-            for view in self.of_workload(wish.workload)
+            view.health.may_serve(now) and view.model.name not in request.tried
+            for view in self.of_workload(request.workload)
         )
 
-    def take(self, wish: SlotRequest) -> HeldSlot | None:
-        """Take a slot of the best upstream, or return None."""
+    def take(self, request: SlotRequest) -> HeldSlot | None:
+        """Take a slot of the best upstream; None if no slot is free."""
         now = time.monotonic()
-        views = list(self.of_workload(wish.workload))
+        views = list(self.of_workload(request.workload))
         candidates = [view.candidate(now) for view in views]
-        chosen = choose(candidates, wish.tried, self._random)
+        chosen = choose(candidates, request.tried, self._random)
         if chosen is None:
             return None
         view = self.views[chosen.name]
@@ -206,38 +207,40 @@
             self.on_shortage(chosen.name)
         return HeldSlot(view.model, slot, view.ledger)
 
-    async def wait(self, wish: SlotRequest, seconds: float) -> HeldSlot | None:
-        """Wait for a slot; None if none came free in time.
+    async def wait(
+        self, request: SlotRequest, seconds: float
+    ) -> HeldSlot | None:
+        """Wait for a slot; None if no slot became free in time.
 
         Args:
-            wish: What the request needs.
-            seconds: Longest wait.
+            request: The request for a slot.
+            seconds: Maximum wait in seconds.
         """
         number = next(self._numbers)
-        waiter = Waiter(number, wish.importance, wish.deadline)
-        match self._line.add(waiter):
+        waiter = Waiter(number, request.importance, request.deadline)
+        match self._queue.add(waiter):
             case Rejected():
                 return None
             case Enqueued(displaced=displaced):
-                self._refuse(displaced)
+                self._drop_displaced(displaced)
         loop = asyncio.get_running_loop()
-        waiting = _Waiting(wish, loop.create_future())
+        waiting = _WaitingRequest(request, loop.create_future())
         self._waiting[number] = waiting
-        for view in self.of_workload(wish.workload):
+        for view in self.of_workload(request.workload):
             self.on_shortage(view.model.name)
-        left = min(seconds, max(wish.deadline - time.monotonic(), 0))
-        timer = loop.call_later(left, self._give_up, number)
+        timeout = min(seconds, max(request.deadline - time.monotonic(), 0))
+        timer = loop.call_later(timeout, self._end_wait, number)
         try:
             return await waiting.ready
         except asyncio.CancelledError:
-            self._take_back(waiting)
+            self._release_unused(waiting)
             raise
         finally:
             timer.cancel()
             self._remove(number)
 
     def release(self, held: HeldSlot) -> None:
-        """End the work on a slot and serve who waits."""
+        """Release a slot and assign free slots to waiting requests."""
         loan = held.ledger.put_back(
             held.slot.token,
             time.monotonic(),
@@ -249,19 +252,19 @@
         self.serve_waiting()
 
     def serve_waiting(self) -> None:
-        """Give free slots to those who wait, most important first."""
-        for late in self._line.drop_expired(time.monotonic(), 0):
-            self._give_up(late.number)
-        for waiter in self._line.by_priority():
+        """Assign free slots to waiting requests, most important first."""
+        for expired in self._queue.drop_expired(time.monotonic(), 0):
+            self._end_wait(expired.number)
+        for waiter in self._queue.by_priority():
             waiting = self._waiting[waiter.number]
-            held = self.take(waiting.wish)
+            held = self.take(waiting.request)
             if held is None:
                 continue
-            self._line.remove(waiter.number)
+            self._queue.remove(waiter.number)
             waiting.ready.set_result(held)
 
     def note_answer(self, upstream: str, seconds: float) -> None:
-        """Count a whole answer."""
+        """Record a complete answer and its latency in seconds."""
         view = self.views.get(upstream)
         if view is None:
             return
@@ -269,7 +272,7 @@
         view.latency += LATENCY_WEIGHT * (seconds - view.latency)
 
     def note_failure(self, upstream: str) -> None:
-        """Count an attempt without an answer."""
+        """Record an attempt that ended without an answer."""
         view = self.views.get(upstream)
         if view is None:
             return
@@ -278,20 +281,20 @@
         view.latency += LATENCY_WEIGHT * max(gap, 0)
 
     def note_leaving(self, upstream: str) -> None:
-        """Note a sign of leaving from the upstream or the platform."""
+        """Record that the upstream or the platform announced its end."""
         view = self.views.get(upstream)
         if view is not None:
             view.health = record_leaving(view.health, time.monotonic())
 
     def note_report(self, upstream: str, load: float) -> None:
-        """Note a load report."""
+        """Record a load report."""
         view = self.views.get(upstream)
         if view is not None:
             view.reported_load = load
             view.reported_at = time.monotonic()
 
     def forget_failures(self, upstream: str) -> None:
-        """Let an ejected upstream serve again after a good probe."""
+        """Return an ejected upstream to service after a successful probe."""
         view = self.views.get(upstream)
         if view is None or not view.health.failures:
             return
@@ -302,17 +305,17 @@
             in_service_since=now,
         )
 
-    def _refuse(self, displaced: tuple[Waiter, ...]) -> None:
+    def _drop_displaced(self, displaced: tuple[Waiter, ...]) -> None:
         for waiter in displaced:
-            self._give_up(waiter.number)
+            self._end_wait(waiter.number)
 
-    def _give_up(self, number: int) -> None:
-        self._line.remove(number)
+    def _end_wait(self, number: int) -> None:
+        self._queue.remove(number)
         waiting = self._waiting.get(number)
         if waiting is not None and not waiting.ready.done():
             waiting.ready.set_result(None)
 
-    def _take_back(self, waiting: _Waiting) -> None:
+    def _release_unused(self, waiting: _WaitingRequest) -> None:
         if not waiting.ready.done() or waiting.ready.cancelled():
             return
         held = waiting.ready.result()
@@ -320,5 +323,5 @@
             self.release(held)
 
     def _remove(self, number: int) -> None:
-        self._line.remove(number)
+        self._queue.remove(number)
         self._waiting.pop(number, None)
--- a/src/wardstair/process/summary.py
+++ b/src/wardstair/process/summary.py
@@ -1,4 +1,4 @@
-"""How many requests were not served in time, and why, from a log."""
+"""Counts, from a log, requests that were not served in time, by cause."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -12,8 +12,8 @@
     parse_line,
 )
 
-# Lines that end a request.
-_ENDS = frozenset(
+# Events that end a request.
+_END_EVENTS = frozenset(
     (
         'request-answered',
         'request-refused',
@@ -23,7 +23,7 @@
         'caller-left',
     )
 )
-# Of a request that no route was found for.
+# Route in the counts of requests without one.
 _NO_ROUTE = '-'
 
 
@@ -32,11 +32,11 @@
     """Requests of one route that were not served in time for one cause.
 
     Attributes:
-        cause: Why.
-        route: Their route.
-        requests: How many.
-        share: Their part of all that were not served in time, 0 to 1.
-        seconds: Median of the seconds that they took; 0 if lines do not say.
+        cause: Why they were not served in time.
+        route: Name of the route.
+        requests: Number of requests.
+        share: Fraction of all requests not served in time, 0 to 1.
+        seconds: Median duration in seconds; a line without it counts as 0.
     """
 
     cause: Cause
@@ -49,34 +49,34 @@
 def summarize(raw_lines: Iterable[str]) -> list[CauseCount]:
     """Count requests that were not served in time, most frequent cause first.
 
-    Lines of those are not thinned up to a bound a second and host, so the
-    counts are whole but for the fullest seconds.
+    Lines of these requests are thinned only above a number per second and
+    host, so the counts are complete except for the busiest seconds.
 
     Args:
-        raw_lines: The log, of one host or of several.
+        raw_lines: Log lines of one host or of several.
     """
-    took: dict[tuple[Cause, str], list[float]] = defaultdict(list)
+    durations: dict[tuple[Cause, str], list[float]] = defaultdict(list)
     for raw in raw_lines:
         line = parse_line(raw)
-        if line is None or line.event not in _ENDS:
+        if line is None or line.event not in _END_EVENTS:
             continue
         cause = cause_of(line)
         if cause is Cause.good:
             continue
         route = line.fields.get('route', _NO_ROUTE)
-        took[cause, route].append(_seconds(line))
-    total = sum(len(seconds) for seconds in took.values())
+        durations[cause, route].append(_seconds(line))
+    total = sum(len(seconds) for seconds in durations.values())
     counts = [
         CauseCount(cause, route, len(seconds), len(seconds) / total, median)
-        for (cause, route), seconds, median in _with_medians(took)
+        for (cause, route), seconds, median in _with_medians(durations)
     ]
     return sorted(counts, key=lambda count: count.requests, reverse=True)
 
 
 def _with_medians(
-    took: dict[tuple[Cause, str], list[float]],
+    durations: dict[tuple[Cause, str], list[float]],
 ) -> Iterable[tuple[tuple[Cause, str], list[float], float]]:
-    for name, seconds in took.items():
+    for name, seconds in durations.items():
         yield name, seconds, round(median(seconds), 3)
 
 
--- a/src/wardstair/process/supervision.py
+++ b/src/wardstair/process/supervision.py
@@ -1,4 +1,4 @@
-"""Keeps the tasks of a process running, and tells of each failure."""
+"""Runs the tasks of a process, and logs and restarts those that fail."""
 
 import asyncio
 import traceback
@@ -6,17 +6,17 @@
 
 from wardstair.process.log import log_warning
 
-RESTART_SECONDS = 1.0
+RESTART_DELAY_SECONDS = 1.0
 
 
 class Supervisor:
-    """Starts tasks and starts each again after an unexpected failure."""
+    """Starts tasks and restarts each one that fails or returns."""
 
     def __init__(self, count_failure: Callable[[str], None]) -> None:
-        """Start without tasks.
+        """Create a supervisor without tasks.
 
         Args:
-            count_failure: Told the name of a task that failed.
+            count_failure: Called with the name of each task that fails.
         """
         self._count_failure = count_failure
         self._tasks: list[asyncio.Task[None]] = []
@@ -25,19 +25,19 @@
         """Run a task until the supervisor stops.
 
         Args:
-            name: Name for logs and metrics.
-            work: Makes the work; called again after a failure.
+            name: Name in logs and metrics.
+            work: Creates the coroutine to run; called at each restart.
         """
-        self._tasks.append(asyncio.ensure_future(self._keep(name, work)))
+        self._tasks.append(asyncio.ensure_future(self._run_forever(name, work)))
 
     async def stop(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._tasks.clear()
 
-    async def _keep(
+    async def _run_forever(
         self,
         name: str,
         work: Callable[[], Awaitable[None]],
@@ -46,15 +46,16 @@
             try:
                 await work()
             except Exception as error:  # noqa: BLE001
-                # A fault in one task must not end the host: its requests go
-                # on, and the task begins again from the state it left.
+                # A fault in one task must not stop the host: requests are
+                # still served, and the task restarts with the state that
+                # it left.
                 self._count_failure(name)
-                where = traceback.extract_tb(error.__traceback__)[-1]
+                frame = traceback.extract_tb(error.__traceback__)[-1]
                 log_warning(
                     'task-failed',
                     task=name,
                     error=repr(error),
-                    file=where.filename.rsplit('/', 1)[-1],
-                    line=where.lineno,
+                    file=frame.filename.rsplit('/', 1)[-1],
+                    line=frame.lineno,
                 )
-            await asyncio.sleep(RESTART_SECONDS)
+            await asyncio.sleep(RESTART_DELAY_SECONDS)
--- a/src/wardstair/process/tokens.py
+++ b/src/wardstair/process/tokens.py
@@ -1,4 +1,4 @@
-"""The tokens of one host, shared by those who own, lend and use them."""
+"""The tokens of one host, as its components share them."""
 
 from dataclasses import dataclass, field
 
@@ -11,10 +11,10 @@
     """The ledgers of the version in force.
 
     Attributes:
-        ledgers: By name of the resource.
-        resources: The capacities of the zone, by name.
-        registered: The incarnations that the zone's shares know.
-        is_fenced: Whether another incarnation of this host has its tokens.
+        ledgers: Ledgers by name of the resource.
+        resources: Resources of the zone by name, with their capacity.
+        registered: Incarnations of hosts in the shares of the zone.
+        is_fenced: Whether another incarnation of this host took its tokens.
     """
 
     ledgers: dict[str, Ledger] = field(default_factory=dict)
--- a/src/wardstair/process/views.py
+++ b/src/wardstair/process/views.py
@@ -1,4 +1,4 @@
-"""What operators are shown of one host, as JSON values."""
+"""The state of one host as JSON values, for operators."""
 
 import time
 from typing import Any
@@ -11,37 +11,38 @@
 from wardstair.process.settings import HostSettings
 from wardstair.process.slots import SlotPool
 
+# Ages are infinite before the first report, which JSON cannot represent.
 MAX_AGE_SECONDS = 1e6
 _MILLISECONDS = 1000
 
 
 class HostViews:
-    """Reads the state of a host's tasks; changes nothing."""
+    """Read-only views of the components of a host."""
 
     def __init__(
         self,
-        me: Identity,
-        place: HostSettings,
+        identity: Identity,
+        location: HostSettings,
         configuration: Configuration,
         capacity: Capacity,
         fleet: Fleet,
         pool: SlotPool,
     ) -> None:
-        """Name what is read."""
-        self._me = me
-        self._place = place
+        """Create the views of these components."""
+        self._identity = identity
+        self._location = location
         self._configuration = configuration
         self._capacity = capacity
         self._fleet = fleet
         self._pool = pool
 
     def status(self) -> dict[str, Any]:
-        """Return what is happening, as JSON values."""
+        """Return the status of the host as JSON values."""
         return {
-            'host': self._me.name,
-            'incarnation': self._me.incarnation,
-            'zone': self._place.zone,
-            'region': self._place.region,
+            'host': self._identity.name,
+            'incarnation': self._identity.incarnation,
+            'zone': self._location.zone,
+            'region': self._location.region,
             'version': self._configuration.version,
             'config_age': round(
                 min(self._configuration.age, MAX_AGE_SECONDS), 1
@@ -59,7 +60,7 @@
         }
 
     def upstreams(self) -> list[dict[str, Any]]:
-        """Return the upstreams of the zone, as JSON values."""
+        """Return the upstreams of the zone as JSON values."""
         now = time.monotonic()
         return [
             {
@@ -80,12 +81,12 @@
         ]
 
     def fleet_hosts(self) -> list[dict[str, Any]]:
-        """Return the known entry hosts, as JSON values."""
+        """Return the known entry hosts as JSON values."""
         now = time.monotonic()
-        near = [
+        zone_hosts = [
             {
                 'host': name,
-                'zone': self._place.zone,
+                'zone': self._location.zone,
                 'state': self._fleet.members.state_of(name, now).value,
                 'version': member.row.version,
                 'leaving': member.row.leaving,
@@ -93,7 +94,7 @@
             }
             for name, member in self._fleet.members.members.items()
         ]
-        far = [
+        remote_hosts = [
             {
                 'host': host.name,
                 'zone': zone,
@@ -103,23 +104,23 @@
                 'heard': round(now - known.heard_at, 1),
             }
             for zone, known in self._fleet.zones.zones.items()
-            if zone != self._place.zone
+            if zone != self._location.zone
             for host in self._fleet.zones.hosts_of(zone)
         ]
         own = {
-            'host': self._me.name,
-            'zone': self._place.zone,
+            'host': self._identity.name,
+            'zone': self._location.zone,
             'state': HostState.live.value,
             'version': self._configuration.version,
             'leaving': self._fleet.is_leaving,
             'heard': 0.0,
         }
-        return [own, *near, *far]
+        return [own, *zone_hosts, *remote_hosts]
 
     def config_status(self) -> dict[str, Any]:
-        """Return which version is in force where, as JSON values."""
+        """Return the lowest version in force in each zone as JSON values."""
         lowest = self._fleet.lowest_versions()
-        lowest[self._place.zone] = (
+        lowest[self._location.zone] = (
             min(
                 [self._configuration.version]
                 + [
