--- a/src/wardstair/process/shifting.py
+++ b/src/wardstair/process/shifting.py
@@ -74,11 +74,11 @@
             for zone, region in topology.zone_regions.items()
             if region == shift.target
         ]
-        moved = [self._fleet.moved_in(zone, position) for zone in zones]
+        moved_in = [self._fleet.moved_in(zone, position) for zone in zones]
         ages = [self._fleet.report_age(zone) for zone in zones]
-        is_known = bool(zones) and None not in moved
+        is_known = bool(zones) and None not in moved_in
         return TargetView(
-            in_flight=sum(count or 0 for count in moved),
+            in_flight=sum(count or 0 for count in moved_in),
             slots=sum(topology.slots(shift.workload, zone) for zone in zones),
             free=sum(
                 self._fleet.far_free(zone, shift.workload) for zone in zones
--- a/src/wardstair/process/slots.py
+++ b/src/wardstair/process/slots.py
@@ -28,6 +28,7 @@
 # Weight of a new sample in the moving average of the latency.
 LATENCY_WEIGHT = 0.2
 INITIAL_LATENCY_SECONDS = 0.01
+# A failed attempt raises the average as an answer of this latency would.
 FAILURE_LATENCY_SECONDS = 1.0
 
 
@@ -184,7 +185,7 @@
         )
 
     def has_upstream(self, request: SlotRequest) -> bool:
-        """Return whether any upstream may serve the request."""
+        """Return whether waiting can help, as some upstream may serve."""
         now = time.monotonic()
         return any(
             view.health.may_serve(now) and view.model.name not in request.tried
--- a/tests/unit/test_events.py
+++ b/tests/unit/test_events.py
@@ -1,4 +1,4 @@
-"""Log lines against their schema, and the schema against its page."""
+"""The logging calls and the reference page match the schema of log lines."""
 
 import ast
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
 KINDS = {kind.name: kind for kind in EVENT_KINDS}
 
 
-def calls() -> Iterator[tuple[str, int, ast.Call]]:
+def find_log_calls() -> Iterator[tuple[str, int, ast.Call]]:
     files = [SOURCE / 'process/supervision.py']
     for package in PACKAGES:
         files.extend(sorted((SOURCE / package).glob('*.py')))
@@ -26,30 +26,32 @@
                 yield file.name, node.lineno, node
 
 
-def names(expression: ast.expr) -> list[str]:
-    """Return the event names an argument may have."""
+def event_names(expression: ast.expr) -> list[str]:
+    """Return the event names that an argument can evaluate to."""
     if isinstance(expression, ast.IfExp):
-        return names(expression.body) + names(expression.orelse)
+        return event_names(expression.body) + event_names(expression.orelse)
     assert isinstance(expression, ast.Constant)
     return [str(expression.value)]
 
 
-ALL_CALLS = list(calls())
+ALL_CALLS = list(find_log_calls())
 
 
 @pytest.mark.parametrize(
     'call',
     [pytest.param(call, id=f'{file}:{line}') for file, line, call in ALL_CALLS],
 )
-def test_each_line_has_the_fields_of_its_kind(call: ast.Call) -> None:
+def test_each_call_has_the_fields_of_its_kind(call: ast.Call) -> None:
     given = {keyword.arg for keyword in call.keywords}
-    for name in names(call.args[0]):
+    for name in event_names(call.args[0]):
         assert given == set(KINDS[name].fields)
 
 
-def test_each_kind_is_written_somewhere() -> None:
-    written = {name for _, _, call in ALL_CALLS for name in names(call.args[0])}
-    # The sink writes this one by itself, past the queue that is full.
+def test_each_kind_is_logged_somewhere() -> None:
+    written = {
+        name for _, _, call in ALL_CALLS for name in event_names(call.args[0])
+    }
+    # The sink writes this line directly, because its queue is full.
     assert written | {'log-lines-dropped'} == set(KINDS)
 
 
--- a/tests/unit/test_summary.py
+++ b/tests/unit/test_summary.py
@@ -1,4 +1,4 @@
-"""Counts of requests that were not served in time, by cause."""
+"""The summary counts requests that were not served in time by cause."""
 
 import io
 import sys
@@ -23,7 +23,7 @@
     load: float = 0,
     sends: int = 1,
 ) -> str:
-    """Return the last line of an answered request."""
+    """Return the log line of an answered request."""
     return ANSWERED.format(
         id='r',
         late=late,
@@ -50,12 +50,12 @@
         ('event=request-unheld request=r held=9', Cause.refused_memory),
     ],
 )
-def test_each_end_has_its_cause(line: str, cause: Cause) -> None:
+def test_each_end_event_has_its_cause(line: str, cause: Cause) -> None:
     (count,) = summarize([line])
     assert (count.cause, count.requests, count.share) == (cause, 1, 1.0)
 
 
-def test_the_most_frequent_cause_comes_first_and_good_ones_do_not_count() -> (
+def test_most_frequent_cause_is_first_and_requests_in_time_are_ignored() -> (
     None
 ):
     lines = [
@@ -91,7 +91,7 @@
     assert row.split()[:4] == ['1', '100.0%', '0.500', 'read']
 
 
-def test_without_a_request_the_command_says_what_to_name(
+def test_the_command_without_a_request_id_prints_usage(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     with pytest.raises(SystemExit) as ended:
