--- a/src/wardstair/process/events.py
+++ b/src/wardstair/process/events.py
@@ -324,8 +324,8 @@
     ),
     _kind(
         'upstream-unusable',
-        'an entry in the store is incomplete and defines no upstream; `field` '
-        'is the invalid field',
+        'an entry in the store is incomplete or invalid and defines no '
+        'upstream; `field` is the path of the faulty field',
         'upstream field expected',
     ),
     _kind(
--- a/src/wardstair/process/shifting.py
+++ b/src/wardstair/process/shifting.py
@@ -1,4 +1,4 @@
-"""Ramps the shifts that start in this region, on this host's look-ups."""
+"""Ramps the shifts that start in this region in this host's look-up answers."""
 
 import time
 
