--- a/src/wardstair/process/calls.py
+++ b/src/wardstair/process/calls.py
@@ -8,6 +8,12 @@
 from wardstair.process.log import log_event
 from wardstair.process.metrics import Metrics
 from wardstair.request import problem
+from wardstair.request.at_most_once import (
+    KeyRegistry,
+    OwnedElsewhere,
+    OwnedHere,
+    OwnerUnknown,
+)
 from wardstair.request.call import (
     AnswerSink,
     Call,
@@ -18,12 +24,6 @@
     Refused,
 )
 from wardstair.request.forwarding import Forwarder
-from wardstair.request.once import (
-    HomeElsewhere,
-    HomeHere,
-    HomeLost,
-    KeyKeeper,
-)
 
 
 class CallExecutor:
@@ -34,7 +34,7 @@
         configuration: Configuration,
         fleet: Fleet,
         forwarder: Forwarder,
-        keeper: KeyKeeper,
+        key_registry: KeyRegistry,
         journal: Journal,
         metrics: Metrics,
     ) -> None:
@@ -44,14 +44,14 @@
             configuration: The version in force.
             fleet: The other hosts.
             forwarder: Sends calls to upstreams and other hosts.
-            keeper: Finds the owners of keys.
+            key_registry: Finds the owners of keys.
             journal: Records what was done and why.
             metrics: Counters.
         """
         self._configuration = configuration
         self._fleet = fleet
         self._forwarder = forwarder
-        self._keeper = keeper
+        self._key_registry = key_registry
         self._journal = journal
         self._metrics = metrics
 
@@ -106,19 +106,19 @@
         sink: AnswerSink,
         entry: JournalEntry,
     ) -> CallEnd:
-        owner = await self._keeper.find_home(call.key or '')
+        owner = await self._key_registry.find_owner(call.key or '')
         match owner:
-            case HomeHere(issued_at=issued_at):
-                return await self._keeper.run(
+            case OwnedHere(issued_at=issued_at):
+                return await self._key_registry.run(
                     call,
                     issued_at,
                     lambda: self._forwarder.forward(call, sink, entry),
                     sink,
                 )
-            case HomeElsewhere(home=identity):
+            case OwnedElsewhere(owner=identity):
                 entry.add_step(f'key is owned by {identity.name}')
                 return await self._relay_to_owner(call, identity, sink)
-            case HomeLost(reason=reason):
+            case OwnerUnknown(reason=reason):
                 return Refused(problem.outcome_unknown(reason))
 
     async def _relay_to_owner(
@@ -134,4 +134,4 @@
         if host is None or is_gone or call.is_internal:
             reason = 'the host that remembers its key has been replaced'
             return Refused(problem.outcome_unknown(reason))
-        return await self._forwarder.relay(call, host, sink)
+        return await self._forwarder.forward_to_owner(call, host, sink)
--- a/src/wardstair/process/host.py
+++ b/src/wardstair/process/host.py
@@ -43,6 +43,9 @@
 from wardstair.process.tokens import TokenBook
 from wardstair.process.views import HostViews
 from wardstair.request import problem
+from wardstair.request.at_most_once import (
+    KeyRegistry,
+)
 from wardstair.request.call import (
     AnswerSink,
     Call,
@@ -50,10 +53,7 @@
 )
 from wardstair.request.caller import CallerServer
 from wardstair.request.forwarding import Forwarder
-from wardstair.request.lookup import LookupBook
-from wardstair.request.once import (
-    KeyKeeper,
-)
+from wardstair.request.lookup import LookupAnswers
 from wardstair.version.resources import shifts_to, zone_resources
 from wardstair.version.topology import Topology
 
@@ -136,7 +136,7 @@
             self.loans,
             lambda: self.configuration.age,
         )
-        self.keeper = KeyKeeper(
+        self.key_registry = KeyRegistry(
             self.me,
             settings.limits.once_keys,
             self._platform,
@@ -158,7 +158,7 @@
             self.configuration,
             self.fleet,
             self.forwarder,
-            self.keeper,
+            self.key_registry,
             self.journal,
             self.metrics,
         )
@@ -182,7 +182,7 @@
             self.pool,
         )
         self._order_desk = OrderDesk(self._platform)
-        self._lookup_book: LookupBook | None = None
+        self._lookup_answers: LookupAnswers | None = None
         self._lookup_generation: object = None
         self._callers = CallerServer(self, is_internal=False)
         self._forwarded = CallerServer(self, is_internal=True)
@@ -293,14 +293,14 @@
         address: str,
     ) -> bytes | Refusal:
         """Return the answer to a look-up, or why it is refused."""
-        book = self._lookup_book
-        if book is None:
+        answers = self._lookup_answers
+        if answers is None:
             return problem.stopping()
-        query = book.parse(workload, address)
+        query = answers.parse(workload, address)
         if isinstance(query, Refusal):
             return query
         age = min(self.configuration.age, MAX_AGE_SECONDS)
-        answer = book.answer(query, self.keeper.issue, age)
+        answer = answers.answer(query, self.key_registry.issue, age)
         if answer is None:
             return problem.no_upstream(query.workload, not_run=True)
         self.metrics.lookups.add(query.workload)
@@ -310,17 +310,17 @@
         """Whether an address may look up on behalf of other callers."""
         return address in self.settings.trusted_resolvers
 
-    def admit_outside(self, call: Call) -> Refusal | None:
+    def admit_cross_region(self, call: Call) -> Refusal | None:
         """Refuse calls while stopping, and those over a cross-region cap."""
         if self._refuses_new:
             return problem.stopping()
         return self.cross_region.admit(call)
 
-    def release_outside(self, call: Call) -> None:
+    def release_cross_region(self, call: Call) -> None:
         """Release the tokens of an admitted call that has ended."""
         self.cross_region.release(call)
 
-    async def carry(self, call: Call, sink: AnswerSink) -> CallEnd:
+    async def execute_call(self, call: Call, sink: AnswerSink) -> CallEnd:
         """Execute a call until it ends."""
         return await self._calls.execute(call, sink)
 
@@ -337,7 +337,7 @@
         return {
             'leaving': self.fleet.is_leaving,
             'open_requests': self.open_requests,
-            'keys': self.keeper.size,
+            'keys': self.key_registry.size,
             **self._views.status(),
         }
 
@@ -449,7 +449,7 @@
         if generation == self._lookup_generation:
             return
         self._lookup_generation = generation
-        self._lookup_book = LookupBook(
+        self._lookup_answers = LookupAnswers(
             topology,
             self.fleet.ranking,
             shares,
--- a/src/wardstair/request/once.py
+++ b/src/wardstair/request/at_most_once.py
@@ -57,30 +57,30 @@
 
 
 @dataclass(frozen=True)
-class HomeHere:
+class OwnedHere:
     """This incarnation remembers the key; issued at that wall time."""
 
     issued_at: float
 
 
 @dataclass(frozen=True)
-class HomeElsewhere:
+class OwnedElsewhere:
     """Another host remembers it."""
 
-    home: Identity
+    owner: Identity
 
 
 @dataclass(frozen=True)
-class HomeLost:
+class OwnerUnknown:
     """Nobody can tell any more whether the key was used."""
 
     reason: str
 
 
-Home = HomeHere | HomeElsewhere | HomeLost
+KeyOwner = OwnedHere | OwnedElsewhere | OwnerUnknown
 
 
-class KeyKeeper:
+class KeyRegistry:
     """The keys that this incarnation is home of."""
 
     def __init__(
@@ -107,25 +107,25 @@
         """Keys that are remembered now."""
         return len(self._table.records)
 
-    def issue(self, home: Identity) -> RequestKey:
+    def issue(self, owner: Identity) -> RequestKey:
         """Make a key whose home is a live host."""
         issued_at = int(self.clock.now())
         return RequestKey(
-            home.name,
-            home.incarnation,
+            owner.name,
+            owner.incarnation,
             issued_at,
             uuid4().hex,
         )
 
-    async def find_home(self, key: str) -> Home:
+    async def find_owner(self, key: str) -> KeyOwner:
         """Find out which incarnation remembers a key."""
         issued = parse_key(key)
         if issued is None:
             return await self._claim(key)
-        home = Identity(issued.owner, issued.incarnation)
-        if home == self._me:
-            return HomeHere(issued.issued_at)
-        return HomeElsewhere(home)
+        owner = Identity(issued.owner, issued.incarnation)
+        if owner == self._me:
+            return OwnedHere(issued.issued_at)
+        return OwnedElsewhere(owner)
 
     async def run(
         self,
@@ -202,7 +202,7 @@
             case _:
                 self._table.mark_unknown(key, now)
 
-    async def _claim(self, key: str) -> Home:
+    async def _claim(self, key: str) -> KeyOwner:
         name = hashlib.sha256(key.encode()).hexdigest()
         claim = {
             'home': self._me.name,
@@ -217,7 +217,7 @@
         )
         match written:
             case Ok():
-                return HomeHere(self.clock.now())
+                return OwnedHere(self.clock.now())
             case Err(VersionConflict()):
                 return await self._claimed(name)
             case Err():
@@ -225,17 +225,17 @@
                 # so "not run" would be a guess about earlier attempts.
                 return await self._claimed(name)
 
-    async def _claimed(self, name: str) -> Home:
+    async def _claimed(self, name: str) -> KeyOwner:
         found = await self._platform.read(CLAIM_KIND, name)
         match found:
             case Ok(stored):
                 claim = stored.value
-                home = Identity(claim['home'], claim['incarnation'])
-                if home == self._me:
-                    return HomeHere(claim['made'])
-                return HomeElsewhere(home)
+                owner = Identity(claim['home'], claim['incarnation'])
+                if owner == self._me:
+                    return OwnedHere(claim['made'])
+                return OwnedElsewhere(owner)
             case Err():
-                return HomeLost('the claim of its key cannot be read')
+                return OwnerUnknown('the claim of its key cannot be read')
 
 
 def fingerprint(call: Call) -> str:
--- a/src/wardstair/request/call.py
+++ b/src/wardstair/request/call.py
@@ -47,7 +47,7 @@
         deadline: Monotonic time by which the answer is needed, or None.
         origin: Region of the caller, or None if not known.
         is_internal: Whether another entry host sent it here.
-        is_relayed: Whether it was sent here for a slot of this zone only.
+        is_zone_only: Whether it was sent here for a slot of this zone only.
         key: Its Idempotency-Key, or None.
     """
 
@@ -60,7 +60,7 @@
     deadline: float | None
     origin: str | None
     is_internal: bool
-    is_relayed: bool
+    is_zone_only: bool
     key: str | None
 
     @property
--- a/src/wardstair/request/caller.py
+++ b/src/wardstair/request/caller.py
@@ -45,13 +45,13 @@
 from wardstair.request.headers import (
     HopPurpose,
     InternalHeader,
-    internal_names,
-    passed_on,
+    forwarded_headers,
+    internal_header_names,
 )
 from wardstair.version.topology import Route, Topology
 
 LOOKUP_PATH = '/v1/lookup'
-CONNECTIONS_A_CALLER = 200
+MAX_CONNECTIONS_PER_CALLER = 200
 JSON_TYPE = 'application/json'
 _MILLISECONDS = 1000
 
@@ -81,13 +81,13 @@
     def is_trusted_resolver(self, address: str) -> bool:
         """Whether an address may ask on behalf of others."""
 
-    def admit_outside(self, call: Call) -> Refusal | None:
+    def admit_cross_region(self, call: Call) -> Refusal | None:
         """Refuse traffic of other regions over its cap."""
 
-    def release_outside(self, call: Call) -> None:
+    def release_cross_region(self, call: Call) -> None:
         """Note the end of a call that `admit_outside` let in."""
 
-    async def carry(self, call: Call, sink: AnswerSink) -> CallEnd:
+    async def execute_call(self, call: Call, sink: AnswerSink) -> CallEnd:
         """Carry a call to its end."""
 
     def note_end(self, call: Call, end: CallEnd, seconds: float) -> None:
@@ -124,7 +124,7 @@
         if server_conn not in self._addresses:
             self._addresses[server_conn] = address
             self._connections[address] += 1
-        is_over = self._connections[address] > CONNECTIONS_A_CALLER
+        is_over = self._connections[address] > MAX_CONNECTIONS_PER_CALLER
         if is_over and not self._is_internal:
             request_conn.no_keep_alive = True
         return CallerRequest(
@@ -267,7 +267,7 @@
         if topology is None:
             return problem.stopping()
         pairs = list(headers.get_all())
-        if not self._is_internal and internal_names(pairs):
+        if not self._is_internal and internal_header_names(pairs):
             return problem.bad_header(
                 'headers beginning with X-Wardstair- are internal',
                 'leave them out',
@@ -308,12 +308,12 @@
             route=route,
             method=line.method,
             target=line.path,
-            headers=passed_on(headers.get_all()),
+            headers=forwarded_headers(headers.get_all()),
             body=body,
             deadline=deadline,
             origin=origin,
             is_internal=self._is_internal,
-            is_relayed=serves_hop,
+            is_zone_only=serves_hop,
             key=key if route.is_once and not serves_hop else None,
         )
 
@@ -363,15 +363,15 @@
 
     async def _run(self, call: Call) -> None:
         end: CallEnd = CallerLeft()
-        refusal = self._service.admit_outside(call)
+        refusal = self._service.admit_cross_region(call)
         try:
             if refusal is None:
-                end = await self._service.carry(call, self)
+                end = await self._service.execute_call(call, self)
             else:
                 end = Refused(refusal)
         finally:
             if refusal is None:
-                self._service.release_outside(call)
+                self._service.release_cross_region(call)
             self._open_requests.discard(self)
             seconds = time.monotonic() - self._started
             self._service.note_end(call, end, seconds)
--- a/src/wardstair/request/forwarding.py
+++ b/src/wardstair/request/forwarding.py
@@ -48,7 +48,11 @@
     Refused,
     StreamedBody,
 )
-from wardstair.request.headers import HopPurpose, InternalHeader, passed_on
+from wardstair.request.headers import (
+    HopPurpose,
+    InternalHeader,
+    forwarded_headers,
+)
 from wardstair.version.document import HostModel
 
 WAIT_SECONDS = 2.0
@@ -159,7 +163,7 @@
             if end is not None:
                 return end
 
-    async def relay(
+    async def forward_to_owner(
         self,
         call: Call,
         host: HostModel,
@@ -171,7 +175,7 @@
         outcome is unknown then, even if this attempt never left.
         """
         relay = _Relay(sink, host.name)
-        place = RemotePlace(host, HopPurpose.home)
+        place = RemotePlace(host, HopPurpose.owner)
         outcome = await self._attempt(call, place, relay)
         match outcome:
             case Answered():
@@ -198,14 +202,14 @@
             NO_DEADLINE if call.deadline is None else call.deadline,
             frozenset(progress.tried),
         )
-        if not call.is_relayed and not progress.attempts:
+        if not call.is_zone_only and not progress.attempts:
             preferred = self._finder.prefers_elsewhere(call)
             if preferred is not None:
                 return RemotePlace(preferred)
         held = self._pool.take(wish)
         if held is not None:
             return LocalPlace(held)
-        if not call.is_relayed:
+        if not call.is_zone_only:
             host = self._finder.find(call, wish.tried)
             if host is not None:
                 return RemotePlace(host)
@@ -370,7 +374,7 @@
 
     def begin(self, head: IncomingHead) -> None:
         clean = IncomingHead(head.status, head.reason)
-        clean.headers.extend(passed_on_answer(head))
+        clean.headers.extend(forwarded_answer_headers(head))
         self.head = head
         self._clean = clean
         self._sink.begin(clean)
@@ -393,9 +397,9 @@
         return Delivered(self._clean, body)
 
 
-def passed_on_answer(head: IncomingHead) -> list[tuple[str, str]]:
+def forwarded_answer_headers(head: IncomingHead) -> list[tuple[str, str]]:
     """Return the answer's headers that go on to the caller."""
-    kept = list(passed_on(head.headers))
+    kept = list(forwarded_headers(head.headers))
     length = head.first('content-length')
     if length is not None:
         kept.append(('Content-Length', length))
--- a/src/wardstair/request/headers.py
+++ b/src/wardstair/request/headers.py
@@ -43,20 +43,20 @@
     """
 
     serve = 'serve'
-    home = 'home'
+    owner = 'home'
 
 
 Headers = Iterable[tuple[str, str]]
 
 
-def internal_names(headers: Headers) -> list[str]:
+def internal_header_names(headers: Headers) -> list[str]:
     """Return the names of internal headers among the given ones."""
     return [
         name for name, _ in headers if name.lower().startswith(INTERNAL_PREFIX)
     ]
 
 
-def passed_on(headers: Headers) -> tuple[tuple[str, str], ...]:
+def forwarded_headers(headers: Headers) -> tuple[tuple[str, str], ...]:
     """Return the headers that are sent on.
 
     Hop-by-hop headers, those that `Connection` names, internal ones and
--- a/src/wardstair/request/lookup.py
+++ b/src/wardstair/request/lookup.py
@@ -58,18 +58,18 @@
 
     Attributes:
         body: JSON without its closing brace.
-        home: First host, to which a key may belong.
+        owner: First host, to which a key may belong.
     """
 
     body: bytes
-    home: Identity
+    owner: Identity
 
 
 HostRanking = Callable[[str, str], Sequence[RankedHost]]
 KeyIssuer = Callable[[Identity], RequestKey]
 
 
-class LookupBook:
+class LookupAnswers:
     """Look-up answers of one version and one view of the fleet.
 
     Everything that depends on the caller's address only through its region
@@ -130,7 +130,7 @@
         prepared = rotations[_spread(query.address) % len(rotations)]
         parts = (prepared.body, age)
         if query.workload in self._once:
-            key = str(issue(prepared.home)).encode()
+            key = str(issue(prepared.owner)).encode()
             return b'%b,"age_seconds":%.1f,"key":"%b"}' % (*parts, key)
         return b'%b,"age_seconds":%.1f}' % parts
 
