--- a/src/wardstair/request/__init__.py
+++ b/src/wardstair/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""Handling of single requests by wardstair-entry."""
--- a/src/wardstair/request/at_most_once.py
+++ b/src/wardstair/request/at_most_once.py
@@ -1,8 +1,9 @@
-"""Requests that may run at most once, at the host that remembers their key.
+"""Runs requests with a key at most once, at the host that owns the key.
 
-A key issued by a look-up names its home. Any other key is claimed in the
+A key issued by a look-up names its owner. Any other key is claimed in the
 platform's store by conditional creation, which makes the claiming host its
-home. Either way one incarnation of one host decides, from memory.
+owner. In both cases a single incarnation of one host decides whether the
+request may run, and keeps the records for this in memory.
 """
 
 import asyncio
@@ -45,10 +46,10 @@
 
 
 class WallClock:
-    """Wall clock time that never steps while the process lives."""
+    """Wall clock time that never steps while the process runs."""
 
     def __init__(self) -> None:
-        """Read both clocks once."""
+        """Record the offset between the wall clock and the monotonic clock."""
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
@@ -58,21 +59,25 @@
 
 @dataclass(frozen=True)
 class OwnedHere:
-    """This incarnation remembers the key; issued at that wall time."""
+    """This incarnation owns the key.
+
+    Attributes:
+        issued_at: Wall clock time in seconds when the key was issued.
+    """
 
     issued_at: float
 
 
 @dataclass(frozen=True)
 class OwnedElsewhere:
-    """Another host remembers it."""
+    """Another incarnation or host owns the key."""
 
     owner: Identity
 
 
 @dataclass(frozen=True)
 class OwnerUnknown:
-    """Nobody can tell any more whether the key was used."""
+    """Neither the owner of the key nor its earlier use is known."""
 
     reason: str
 
@@ -81,7 +86,7 @@
 
 
 class KeyRegistry:
-    """The keys that this incarnation is home of."""
+    """The keys that this incarnation owns."""
 
     def __init__(
         self,
@@ -89,26 +94,26 @@
         capacity: int,
         platform: PlatformClient,
     ) -> None:
-        """Make an empty table.
+        """Create an empty registry.
 
         Args:
             me: This incarnation.
-            capacity: Most keys that are remembered.
-            platform: Where keys of callers' own making are claimed.
+            capacity: Maximum number of recorded keys.
+            platform: Stores the claims of keys that callers generated.
         """
         self.clock = WallClock()
         self._me = me
         self._table = KeyTable(capacity)
         self._platform = platform
-        self._ends: dict[str, asyncio.Event] = {}
+        self._end_events: dict[str, asyncio.Event] = {}
 
     @property
     def size(self) -> int:
-        """Keys that are remembered now."""
+        """Number of recorded keys."""
         return len(self._table.records)
 
     def issue(self, owner: Identity) -> RequestKey:
-        """Make a key whose home is a live host."""
+        """Issue a key that the given live host owns."""
         issued_at = int(self.clock.now())
         return RequestKey(
             owner.name,
@@ -118,13 +123,13 @@
         )
 
     async def find_owner(self, key: str) -> KeyOwner:
-        """Find out which incarnation remembers a key."""
-        issued = parse_key(key)
-        if issued is None:
+        """Return which incarnation owns a key; claim it if none does."""
+        parsed = parse_key(key)
+        if parsed is None:
             return await self._claim(key)
-        owner = Identity(issued.owner, issued.incarnation)
+        owner = Identity(parsed.owner, parsed.incarnation)
         if owner == self._me:
-            return OwnedHere(issued.issued_at)
+            return OwnedHere(parsed.issued_at)
         return OwnedElsewhere(owner)
 
     async def run(
@@ -134,13 +139,13 @@
         forward: Callable[[], Awaitable[CallEnd]],
         sink: AnswerSink,
     ) -> CallEnd:
-        """Run a call unless its key shows that it has run before.
+        """Run a call unless its key was used before.
 
         Args:
-            call: The request; it carries a key.
-            issued_at: Wall time of the key's issue.
-            forward: Sends the call; used at most once.
-            sink: Where a kept answer goes.
+            call: The request, which has a key.
+            issued_at: Wall clock time in seconds when the key was issued.
+            forward: Sends the call; called at most once.
+            sink: Receives the answer if a kept one is repeated.
         """
         key = call.key or ''
         while True:
@@ -155,7 +160,7 @@
                 case Run():
                     return await self._run_first(key, forward)
                 case InProgress():
-                    await self._ends[key].wait()
+                    await self._end_events[key].wait()
                 case Replay(answer=answer):
                     return await _replay(answer, sink)
                 case AlreadyRun():
@@ -173,22 +178,23 @@
         key: str,
         forward: Callable[[], Awaitable[CallEnd]],
     ) -> CallEnd:
-        self._ends[key] = asyncio.Event()
+        self._end_events[key] = asyncio.Event()
         end: CallEnd | None = None
         try:
             end = await forward()
         finally:
-            self._note(key, end)
-            self._ends.pop(key).set()
+            self._record_end(key, end)
+            self._end_events.pop(key).set()
         return end
 
-    def _note(self, key: str, end: CallEnd | None) -> None:
+    def _record_end(self, key: str, end: CallEnd | None) -> None:
         now = self.clock.now()
         match end:
             case Refused(refusal=refusal) if refusal.not_run:
                 self._table.release(key)
             case Delivered(head=head) if head.first('not-run') == 'false':
-                # Another entry host on the way could not tell.
+                # Another entry host forwarded the call and does not know
+                # whether it ran.
                 self._table.mark_unknown(key, now)
             case Delivered(head=head, body=bytes(body)):
                 headers = tuple(head.headers)
@@ -209,25 +215,25 @@
             'incarnation': self._me.incarnation,
             'made': int(self.clock.now()),
         }
-        written = await self._platform.write_surely(
+        write_result = await self._platform.write_surely(
             CLAIM_KIND,
             name,
             claim,
             0,
         )
-        match written:
+        match write_result:
             case Ok():
                 return OwnedHere(self.clock.now())
             case Err(VersionConflict()):
-                return await self._claimed(name)
+                return await self._read_claim(name)
             case Err():
-                # The key may have been claimed and run before by any host,
-                # so "not run" would be a guess about earlier attempts.
-                return await self._claimed(name)
+                # Any host may have claimed the key and run the request before,
+                # so the call must not be refused as not run.
+                return await self._read_claim(name)
 
-    async def _claimed(self, name: str) -> KeyOwner:
-        found = await self._platform.read(CLAIM_KIND, name)
-        match found:
+    async def _read_claim(self, name: str) -> KeyOwner:
+        read_result = await self._platform.read(CLAIM_KIND, name)
+        match read_result:
             case Ok(stored):
                 claim = stored.value
                 owner = Identity(claim['home'], claim['incarnation'])
@@ -239,7 +245,7 @@
 
 
 def fingerprint(call: Call) -> str:
-    """Return a digest of what makes a request the same request."""
+    """Return a digest of the method, target and body of a request."""
     digest = hashlib.sha256(f'{call.method} {call.target}\n'.encode())
     match call.body:
         case BufferedBody(content=content):
--- a/src/wardstair/request/call.py
+++ b/src/wardstair/request/call.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way through an entry host."""
+"""One request of a caller while an entry host handles it."""
 
 import time
 from dataclasses import dataclass
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True)
 class BufferedBody:
-    """A small body held whole, so that it can be sent again."""
+    """A small body kept in memory, so that it can be sent again."""
 
     content: bytes
 
 
 @dataclass(frozen=True)
 class StreamedBody:
-    """A body that passes through once.
+    """A body that is streamed and can be sent only once.
 
     Attributes:
-        pipe: The bytes as they arrive.
-        length: Declared length, or -1 for chunked framing.
+        pipe: The bytes as they are received.
+        length: Declared length in bytes, or -1 for chunked framing.
     """
 
     pipe: Pipe
@@ -35,20 +35,23 @@
 
 @dataclass
 class Call:
-    """A request with all that its way depends on.
+    """A request with all data needed to forward it.
 
     Attributes:
-        request_id: Identifies the request in logs and towards upstreams.
-        route: The route that covers it.
+        request_id: Identifies the request in logs and to upstreams.
+        route: The route that it matches.
         method: HTTP method.
         target: Path and query as received.
         headers: End-to-end headers.
-        body: Its body.
-        deadline: Monotonic time by which the answer is needed, or None.
-        origin: Region of the caller, or None if not known.
-        is_internal: Whether another entry host sent it here.
-        is_zone_only: Whether it was sent here for a slot of this zone only.
-        key: Its Idempotency-Key, or None.
+        body: The body, or None.
+        deadline: Monotonic time in seconds by which the answer is needed, or
+            None.
+        origin: Region of the caller, or None if unknown.
+        is_internal: Whether it was sent by another entry host.
+        is_zone_only: Whether only upstreams of this zone may serve it, as
+            another entry host requested.
+        key: The Idempotency-Key of a request that may run at most once, or
+            None if the request has no key to check here.
     """
 
     request_id: str
@@ -65,14 +68,14 @@
 
     @property
     def time_left(self) -> float | None:
-        """Seconds to the deadline, or None without one."""
+        """Seconds until the deadline, or None if there is none."""
         if self.deadline is None:
             return None
         return self.deadline - time.monotonic()
 
     @property
     def is_body_consumed(self) -> bool:
-        """Whether bytes are gone that another attempt would need."""
+        """Whether bytes that another attempt needs were already read."""
         match self.body:
             case StreamedBody(pipe=pipe):
                 return pipe.taken > 0
@@ -81,28 +84,28 @@
 
 
 class AnswerSink(Protocol):
-    """Where the answer of a call goes."""
+    """Receives the answer of a call."""
 
     def begin(self, head: IncomingHead) -> None:
-        """Send the answer's head."""
+        """Send the status line and headers of the answer."""
 
     async def write(self, chunk: bytes) -> None:
-        """Send bytes of the body, waiting while the caller is slow."""
+        """Send bytes of the body; wait while the caller reads slowly."""
 
     def end(self) -> None:
-        """Mark the answer as whole."""
+        """Finish a complete answer."""
 
-    def cut(self) -> None:
-        """Close the connection, since the answer cannot become whole."""
+    def disconnect(self) -> None:
+        """Close the connection, since the answer cannot be completed."""
 
 
 @dataclass(frozen=True)
 class Delivered:
-    """The whole answer went to the caller.
+    """The complete answer was sent to the caller.
 
     Attributes:
-        head: Its head.
-        body: Its body if it was small enough to keep, else None.
+        head: The status and headers that were sent.
+        body: The body if it was small enough to keep, else None.
     """
 
     head: IncomingHead
@@ -111,19 +114,19 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """The caller is to be told of a refusal."""
+    """The request was refused; the refusal is still to be sent."""
 
     refusal: Refusal
 
 
 @dataclass(frozen=True)
 class CutShort:
-    """The answer had begun and could not be finished."""
+    """The answer was begun but could not be completed."""
 
 
 @dataclass(frozen=True)
 class CallerLeft:
-    """The caller closed its connection first."""
+    """The caller closed its connection before the answer was complete."""
 
 
 CallEnd = Delivered | Refused | CutShort | CallerLeft
--- a/src/wardstair/request/caller.py
+++ b/src/wardstair/request/caller.py
@@ -1,7 +1,7 @@
-"""The callers' listener: one delegate a connection, one message a request.
+"""HTTP server for callers and for other entry hosts.
 
-tornado's connection interface is used instead of its request handlers, since
-bodies stream both ways and a look-up must stay cheap.
+It uses tornado's connection interface rather than its request handlers, since
+bodies are streamed in both directions and a look-up has to be cheap.
 """
 
 import asyncio
@@ -57,51 +57,51 @@
 
 
 class CallerService(Protocol):
-    """What the listener needs of the entry host."""
+    """The methods of the entry host that the server uses."""
 
     @property
     def topology(self) -> Topology | None:
-        """The version in force, or None before the first."""
+        """Topology of the version in force, or None before the first."""
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the host no longer takes new work of its own."""
+        """Whether the host no longer accepts new requests."""
 
     @property
     def once_body_limit(self) -> int:
-        """Most bytes of a request that may not be repeated."""
+        """Maximum body size in bytes of requests that may not be repeated."""
 
     def answer_lookup(
         self,
         workload: str | None,
         address: str,
     ) -> bytes | Refusal:
-        """Answer a look-up."""
+        """Return the JSON answer to a look-up, or refuse it."""
 
     def is_trusted_resolver(self, address: str) -> bool:
-        """Whether an address may ask on behalf of others."""
+        """Return whether an address may send look-ups for other addresses."""
 
     def admit_cross_region(self, call: Call) -> Refusal | None:
-        """Refuse traffic of other regions over its cap."""
+        """Admit a call, or refuse traffic of other regions over its cap."""
 
     def release_cross_region(self, call: Call) -> None:
-        """Note the end of a call that `admit_outside` let in."""
+        """Record the end of a call that `admit_cross_region` admitted."""
 
     async def execute_call(self, call: Call, sink: AnswerSink) -> CallEnd:
-        """Carry a call to its end."""
+        """Execute a call until it ends."""
 
     def note_end(self, call: Call, end: CallEnd, seconds: float) -> None:
         """Count and record the end of a call."""
 
     def note_refusal(self, workload: str, refusal: Refusal) -> None:
-        """Count a refusal outside a call."""
+        """Count a refusal that belongs to no call."""
 
 
 class CallerServer(HTTPServerConnectionDelegate):
-    """Makes a delegate for each request of each connection."""
+    """Creates a delegate for each request of each connection."""
 
     def __init__(self, service: CallerService, *, is_internal: bool) -> None:
-        """Serve callers, or other entry hosts.
+        """Create a server for callers or for other entry hosts.
 
         Args:
             service: The entry host.
@@ -118,7 +118,7 @@
         server_conn: object,
         request_conn: HTTPConnection,
     ) -> HTTPMessageDelegate:
-        """Return the delegate of a new request."""
+        """Return the delegate for a new request."""
         assert isinstance(request_conn, HTTP1Connection)
         address = str(getattr(request_conn.context, 'remote_ip', ''))
         if server_conn not in self._addresses:
@@ -136,7 +136,7 @@
         )
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection."""
+        """Remove a connection from the count of its address."""
         address = self._addresses.pop(server_conn, None)
         if address is None:
             return
@@ -146,7 +146,7 @@
 
 
 class CallerRequest(HTTPMessageDelegate):
-    """One request, from its head to the end of its answer."""
+    """Handles one request, from its headers to the end of its answer."""
 
     def __init__(
         self,
@@ -157,14 +157,15 @@
         *,
         is_internal: bool,
     ) -> None:
-        """Prepare for the request's head.
+        """Create the delegate before the headers are received.
 
         Args:
             service: The entry host.
-            connection: The connection it comes by.
+            connection: The connection on which the request arrives.
             address: The caller's address.
-            open_requests: Where the request is listed while it is open.
-            is_internal: Whether it comes from another entry host.
+            open_requests: The open requests; the request adds and removes
+                itself.
+            is_internal: Whether the request comes from another entry host.
         """
         self.request_id = uuid4().hex
         self._service = service
@@ -173,24 +174,27 @@
         self._open_requests = open_requests
         self._is_internal = is_internal
         self._started = time.monotonic()
-        self._lookup: str | None = None
+        self._lookup_query: str | None = None
         self._pipe: Pipe | None = None
         self._buffer: bytearray | None = None
-        self._pending: Call | None = None
+        self._pending_call: Call | None = None
         self._task: asyncio.Task[None] | None = None
-        self._answered = False
+        self._answer_begun = False
 
     def headers_received(
         self,
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Begin the request."""
+        """Check the headers and start the call.
+
+        Look-ups and calls with a buffered body start once the body is complete.
+        """
         assert isinstance(start_line, RequestStartLine)
         self._connection.set_close_callback(self.on_connection_close)
         path, _, query = start_line.path.partition('?')
         if path == LOOKUP_PATH and not self._is_internal:
-            self._lookup = query
+            self._lookup_query = query
             return None
         call = self._make_call(start_line, headers, path)
         if isinstance(call, Refusal):
@@ -198,39 +202,39 @@
             self._refuse(call)
             return None
         if self._buffer is not None:
-            self._pending = call
+            self._pending_call = call
             return None
         self._start(call)
         return None
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take bytes of the body; the connection waits for the result."""
+        """Process bytes of the body; the connection waits until it is done."""
         if self._buffer is not None:
             return self._buffer_chunk(chunk)
         if self._pipe is None:
             return None
-        return self._feed(self._pipe, chunk)
+        return self._feed_pipe(self._pipe, chunk)
 
     def finish(self) -> None:
-        """Note the end of the request's body."""
-        if self._lookup is not None:
-            self._answer_lookup(self._lookup)
+        """Process the end of the request's body."""
+        if self._lookup_query is not None:
+            self._answer_lookup(self._lookup_query)
         if self._pipe is not None:
             self._pipe.end()
-        if self._pending is not None and self._buffer is not None:
-            self._pending.body = BufferedBody(bytes(self._buffer))
-            self._start(self._pending)
+        if self._pending_call is not None and self._buffer is not None:
+            self._pending_call.body = BufferedBody(bytes(self._buffer))
+            self._start(self._pending_call)
 
     def on_connection_close(self) -> None:
-        """End the work for a caller that has gone."""
+        """Cancel the call of a caller that has disconnected."""
         if self._pipe is not None:
             self._pipe.fail()
         if self._task is not None:
             self._task.cancel()
 
     def begin(self, head: IncomingHead) -> None:
-        """Send the answer's head."""
-        self._answered = True
+        """Send the status line and headers of the answer."""
+        self._answer_begun = True
         headers = HTTPHeaders()
         for name, text in head.headers:
             headers.add(name, text)
@@ -239,21 +243,21 @@
         self._connection.write_headers(line, headers)
 
     async def write(self, chunk: bytes) -> None:
-        """Send bytes of the body, waiting while the caller is slow."""
+        """Send bytes of the body; wait while the caller reads slowly."""
         if not chunk:
             return
         try:
             await self._connection.write(chunk)
         except StreamClosedError:
-            # on_connection_close cancels the task; it ends there.
+            # on_connection_close cancels this task; yield so that it ends.
             await asyncio.sleep(0)
 
     def end(self) -> None:
-        """Mark the answer as whole."""
+        """Finish a complete answer."""
         self._connection.finish()
 
-    def cut(self) -> None:
-        """Close the connection, since the answer cannot become whole."""
+    def disconnect(self) -> None:
+        """Close the connection, since the answer cannot be completed."""
         stream = self._connection.detach()
         stream.close()
 
@@ -290,18 +294,18 @@
         headers: HTTPHeaders,
         key: str | None,
     ) -> Call | Refusal:
-        deadline = _deadline(route, headers, self._started)
+        deadline = _request_deadline(route, headers, self._started)
         if isinstance(deadline, Refusal):
             return deadline
         body = self._open_body(route, headers)
         if isinstance(body, Refusal):
             return body
-        origin = _region(topology, self._address)
-        serves_hop = False
+        origin = _caller_region(topology, self._address)
+        is_zone_only = False
         if self._is_internal:
             origin = headers.get(InternalHeader.origin_region)
             purpose = headers.get(InternalHeader.purpose)
-            serves_hop = purpose == HopPurpose.serve
+            is_zone_only = purpose == HopPurpose.serve
             self.request_id = headers.get('Request-Id', self.request_id)
         return Call(
             request_id=self.request_id,
@@ -313,8 +317,8 @@
             deadline=deadline,
             origin=origin,
             is_internal=self._is_internal,
-            is_zone_only=serves_hop,
-            key=key if route.is_once and not serves_hop else None,
+            is_zone_only=is_zone_only,
+            key=key if route.is_once and not is_zone_only else None,
         )
 
     def _open_body(
@@ -344,13 +348,13 @@
         assert self._buffer is not None
         limit = self._service.once_body_limit
         if len(self._buffer) + len(chunk) > limit:
-            self._pending = None
-            if not self._answered:
+            self._pending_call = None
+            if not self._answer_begun:
                 self._refuse(problem.body_too_large(limit))
             return
         self._buffer.extend(chunk)
 
-    async def _feed(self, pipe: Pipe, chunk: bytes) -> None:
+    async def _feed_pipe(self, pipe: Pipe, chunk: bytes) -> None:
         try:
             await pipe.put(chunk)
         except PipeBroken:
@@ -378,8 +382,8 @@
             if self._pipe is not None and not isinstance(end, Delivered):
                 self._pipe.fail()
         match end:
-            case Refused(refusal=final):
-                self._refuse(final)
+            case Refused(refusal=end_refusal):
+                self._refuse(end_refusal)
             case CutShort():
                 log_event('answer-cut', request=self.request_id)
 
@@ -387,9 +391,9 @@
         parameters = parse_qs(query)
         workload = parameters.get('workload', [None])[0]
         address = self._address
-        asked = parameters.get('address', [''])[0]
-        if asked and self._service.is_trusted_resolver(address):
-            address = asked
+        requested = parameters.get('address', [''])[0]
+        if requested and self._service.is_trusted_resolver(address):
+            address = requested
         answer = self._service.answer_lookup(workload, address)
         if isinstance(answer, Refusal):
             self._service.note_refusal('', answer)
@@ -398,7 +402,7 @@
         self._send(200, JSON_TYPE, answer, None)
 
     def _refuse(self, refusal: Refusal) -> None:
-        if self._answered:
+        if self._answer_begun:
             return
         body = problem.problem_body(refusal, self.request_id)
         self._send(refusal.status, problem.PROBLEM_TYPE, body, refusal)
@@ -410,7 +414,7 @@
         body: bytes,
         refusal: Refusal | None,
     ) -> None:
-        self._answered = True
+        self._answer_begun = True
         headers = HTTPHeaders(
             {
                 'Content-Type': content_type,
@@ -427,27 +431,27 @@
         self._connection.finish()
 
 
-def _deadline(
+def _request_deadline(
     route: Route,
     headers: HTTPHeaders,
     started: float,
 ) -> float | None | Refusal:
     seconds = route.workload.deadline_seconds
-    asked = headers.get('Deadline-Ms')
-    if asked is None:
+    requested = headers.get('Deadline-Ms')
+    if requested is None:
         return None if seconds is None else started + seconds
-    if not asked.isdecimal():
+    if not requested.isdecimal():
         return problem.bad_header(
-            f'Deadline-Ms is {asked}',
+            f'Deadline-Ms is {requested}',
             'give a whole number of milliseconds',
         )
-    wanted = int(asked) / _MILLISECONDS
+    requested_seconds = int(requested) / _MILLISECONDS
     if seconds is not None:
-        wanted = min(wanted, seconds)
-    return started + wanted
+        requested_seconds = min(requested_seconds, seconds)
+    return started + requested_seconds
 
 
-def _region(topology: Topology, address: str) -> str | None:
+def _caller_region(topology: Topology, address: str) -> str | None:
     try:
         return topology.caller_region(int(IPv4Address(address)))
     except AddressValueError:
--- a/src/wardstair/request/forwarding.py
+++ b/src/wardstair/request/forwarding.py
@@ -1,4 +1,4 @@
-"""The way of one call: place, attempt, judge, and perhaps attempt again."""
+"""Forwards calls to upstreams and other entry hosts, with retries."""
 
 import asyncio
 import time
@@ -55,7 +55,7 @@
 )
 from wardstair.version.document import HostModel
 
-WAIT_SECONDS = 2.0
+MAX_WAIT_SECONDS = 2.0
 HOP_MARGIN_SECONDS = 0.01
 NO_DEADLINE = float('inf')
 DRAINING_HEADER = 'draining'
@@ -63,48 +63,55 @@
 
 
 @dataclass(frozen=True)
-class LocalPlace:
-    """An upstream of this zone, with a slot."""
+class LocalUpstream:
+    """An upstream of this zone with a slot held for the call."""
 
     held: HeldSlot
 
 
 @dataclass(frozen=True)
-class RemotePlace:
-    """An entry host of another zone that has room."""
+class RemoteHost:
+    """An entry host to which the call is forwarded."""
 
     host: HostModel
     purpose: HopPurpose = HopPurpose.serve
 
 
 @dataclass(frozen=True)
-class NoPlace:
-    """Nothing can serve the call."""
+class NoDestination:
+    """No upstream or entry host can serve the call."""
 
     refusal: Refusal
 
 
-Place = LocalPlace | RemotePlace | NoPlace
+Destination = LocalUpstream | RemoteHost | NoDestination
 
 
 class RemoteFinder(Protocol):
     """Finds entry hosts of other zones."""
 
     def prefers_elsewhere(self, call: Call) -> HostModel | None:
-        """Return a host if the policy draws another zone than this one."""
+        """Return a host if the policy selects a zone other than this one."""
 
     def find(self, call: Call, tried: frozenset[str]) -> HostModel | None:
-        """Return a host with room, or None."""
+        """Return a host with free capacity, or None."""
 
 
 @dataclass
 class _Progress:
-    """What has happened to a call so far."""
+    """Progress of one call over all its attempts.
+
+    Attributes:
+        tried: Names of the upstreams and hosts tried.
+        ran: Whether the request may have run.
+        attempts: Number of attempts.
+        last_failure: Why the last attempt failed.
+    """
 
     tried: set[str] = field(default_factory=set)
     ran: bool = False
     attempts: int = 0
-    last_reason: str = ''
+    last_failure: str = ''
 
 
 class Forwarder:
@@ -118,12 +125,12 @@
         finder: RemoteFinder,
         region: str,
     ) -> None:
-        """Prepare a forwarder.
+        """Create a forwarder.
 
         Args:
             client: The process's curl client.
             pool: Slots of the zone's upstreams.
-            metrics: Where refusals and retries are counted.
+            metrics: Counts retries and withheld retries.
             finder: Finds entry hosts of other zones.
             region: Region of this host.
         """
@@ -141,25 +148,25 @@
         sink: AnswerSink,
         entry: JournalEntry,
     ) -> CallEnd:
-        """Carry a call to its end.
+        """Forward a call, with retries, until it ends.
 
         Args:
             call: The request.
-            sink: Where its answer goes; nothing is sent there unless the
-                end is `Delivered` or `CutShort`.
-            entry: Where each step is noted.
+            sink: Receives the answer; it receives nothing unless the end is
+                `Delivered` or `CutShort`.
+            entry: Journal entry to which each step is added.
         """
         self._budgets.of(call.route.workload.name).deposit()
         progress = _Progress()
         while True:
-            place = await self._find_place(call, progress)
-            if isinstance(place, NoPlace):
-                return Refused(place.refusal)
+            destination = await self._find_destination(call, progress)
+            if isinstance(destination, NoDestination):
+                return Refused(destination.refusal)
             progress.attempts += 1
-            relay = _Relay(sink, _name_of(place))
-            outcome = await self._attempt(call, place, relay)
-            entry.add_step(f'{relay.place}: {outcome}')
-            end = self._conclude(call, progress, outcome, relay)
+            writer = _AnswerWriter(sink, _destination_name(destination))
+            outcome = await self._attempt(call, destination, writer)
+            entry.add_step(f'{writer.destination}: {outcome}')
+            end = self._conclude(call, progress, outcome, writer)
             if end is not None:
                 return end
 
@@ -169,17 +176,17 @@
         host: HostModel,
         sink: AnswerSink,
     ) -> CallEnd:
-        """Send a call to the host that remembers its key.
+        """Forward a call to the host that owns its key.
 
-        An attempt that fails says nothing about earlier ones, so the
-        outcome is unknown then, even if this attempt never left.
+        If the attempt fails, the outcome of the request is unknown even if the
+        call was never sent, since an earlier attempt may have run.
         """
-        relay = _Relay(sink, host.name)
-        place = RemotePlace(host, HopPurpose.owner)
-        outcome = await self._attempt(call, place, relay)
+        writer = _AnswerWriter(sink, host.name)
+        destination = RemoteHost(host, HopPurpose.owner)
+        outcome = await self._attempt(call, destination, writer)
         match outcome:
             case Answered():
-                return relay.delivered()
+                return writer.delivered()
             case DeclaredNotRun():
                 return Refused(problem.overloaded(1, not_run=True))
             case Abandoned():
@@ -190,13 +197,15 @@
                 reason = 'the host that remembers its key cannot be reached'
                 return Refused(problem.outcome_unknown(reason))
 
-    async def _find_place(self, call: Call, progress: _Progress) -> Place:
-        left = call.time_left
-        if left is not None and left <= 0:
-            return NoPlace(
+    async def _find_destination(
+        self, call: Call, progress: _Progress
+    ) -> Destination:
+        remaining = call.time_left
+        if remaining is not None and remaining <= 0:
+            return NoDestination(
                 problem.deadline_passed(not_run=not progress.ran),
             )
-        wish = SlotWish(
+        slot_request = SlotWish(
             call.route.workload.name,
             call.route.workload.importance,
             NO_DEADLINE if call.deadline is None else call.deadline,
@@ -205,78 +214,88 @@
         if not call.is_zone_only and not progress.attempts:
             preferred = self._finder.prefers_elsewhere(call)
             if preferred is not None:
-                return RemotePlace(preferred)
-        held = self._pool.take(wish)
+                return RemoteHost(preferred)
+        held = self._pool.take(slot_request)
         if held is not None:
-            return LocalPlace(held)
+            return LocalUpstream(held)
         if not call.is_zone_only:
-            host = self._finder.find(call, wish.tried)
+            host = self._finder.find(call, slot_request.tried)
             if host is not None:
-                return RemotePlace(host)
-        return await self._wait(wish, progress)
+                return RemoteHost(host)
+        return await self._wait(slot_request, progress)
 
-    async def _wait(self, wish: SlotWish, progress: _Progress) -> Place:
+    async def _wait(
+        self, slot_request: SlotWish, progress: _Progress
+    ) -> Destination:
         not_run = not progress.ran
-        if not self._pool.has_upstream(wish):
-            return NoPlace(self._exhausted(wish, progress))
-        held = await self._pool.wait(wish, WAIT_SECONDS)
+        if not self._pool.has_upstream(slot_request):
+            return NoDestination(
+                self._no_upstream_refusal(slot_request, progress)
+            )
+        held = await self._pool.wait(slot_request, MAX_WAIT_SECONDS)
         if held is not None:
-            return LocalPlace(held)
-        return NoPlace(problem.overloaded(1, not_run=not_run))
+            return LocalUpstream(held)
+        return NoDestination(problem.overloaded(1, not_run=not_run))
 
-    def _exhausted(self, wish: SlotWish, progress: _Progress) -> Refusal:
+    def _no_upstream_refusal(
+        self, slot_request: SlotWish, progress: _Progress
+    ) -> Refusal:
         not_run = not progress.ran
         if progress.attempts:
             return problem.upstream_failed(
-                progress.last_reason,
+                progress.last_failure,
                 not_run=not_run,
             )
-        return problem.no_upstream(wish.workload, not_run=not_run)
+        return problem.no_upstream(slot_request.workload, not_run=not_run)
 
     async def _attempt(
         self,
         call: Call,
-        place: LocalPlace | RemotePlace,
-        relay: '_Relay',
+        destination: LocalUpstream | RemoteHost,
+        writer: '_AnswerWriter',
     ) -> AttemptOutcome:
         started = time.monotonic()
         pipe, length = _body_of(call)
-        outgoing = self._outgoing(call, place, length)
+        outgoing = self._outgoing(call, destination, length)
         exchange = Exchange(self._client, outgoing, pipe)
         self.open_exchanges.add(exchange)
         try:
-            outcome = await _carry(exchange, relay)
+            outcome = await _run_exchange(exchange, writer)
         finally:
             self.open_exchanges.discard(exchange)
-            if isinstance(place, LocalPlace):
-                self._pool.give_back(place.held)
-        if isinstance(place, LocalPlace):
+            if isinstance(destination, LocalUpstream):
+                self._pool.give_back(destination.held)
+        if isinstance(destination, LocalUpstream):
             seconds = time.monotonic() - started
-            self._note(place.held.upstream.name, outcome, relay, seconds)
+            self._record_outcome(
+                destination.held.upstream.name, outcome, writer, seconds
+            )
         return outcome
 
     def _outgoing(
         self,
         call: Call,
-        place: LocalPlace | RemotePlace,
+        destination: LocalUpstream | RemoteHost,
         length: int | None,
     ) -> Outgoing:
-        left = call.time_left
+        remaining = call.time_left
         headers = [*call.headers, ('Request-Id', call.request_id)]
-        match place:
-            case LocalPlace(held=held):
+        match destination:
+            case LocalUpstream(held=held):
                 address = held.upstream.address
                 send_by = held.slot.send_by
-            case RemotePlace(host=host, purpose=purpose):
+            case RemoteHost(host=host, purpose=purpose):
                 address = host.forward
                 send_by = None
                 headers.append((InternalHeader.purpose, purpose))
                 origin = call.origin or self._region
                 headers.append((InternalHeader.origin_region, origin))
-                if left is not None:
-                    left = max(left - HOP_MARGIN_SECONDS, HOP_MARGIN_SECONDS)
-        if left is not None:
-            budget = str(max(int(left * _MILLISECONDS), 1))
+                if remaining is not None:
+                    remaining = max(
+                        remaining - HOP_MARGIN_SECONDS, HOP_MARGIN_SECONDS
+                    )
+        if remaining is not None:
+            budget = str(max(int(remaining * _MILLISECONDS), 1))
             headers.append(('Deadline-Ms', budget))
         return Outgoing(
             url=f'http://{address}{call.target}',
@@ -285,19 +304,19 @@
             request_id=call.request_id,
             is_once=call.route.is_once,
             body_length=length,
-            seconds=left,
+            seconds=remaining,
             send_by=send_by,
             idle_seconds=call.route.workload.idle_seconds,
         )
 
-    def _note(
+    def _record_outcome(
         self,
         upstream: str,
         outcome: AttemptOutcome,
-        relay: '_Relay',
+        writer: '_AnswerWriter',
         seconds: float,
     ) -> None:
-        head = relay.head
+        head = writer.head
         if head is not None and head.first(DRAINING_HEADER) == 'true':
             self._pool.note_leaving(upstream)
         match outcome:
@@ -311,25 +330,27 @@
         call: Call,
         progress: _Progress,
         outcome: AttemptOutcome,
-        relay: '_Relay',
+        writer: '_AnswerWriter',
     ) -> CallEnd | None:
-        """Return the end of the call, or None for another attempt."""
+        """Return the end of the call, or None to make another attempt."""
         progress.ran = progress.ran or may_have_run(outcome)
-        progress.tried.add(relay.place)
+        progress.tried.add(writer.destination)
         match outcome:
             case Answered():
-                return relay.delivered()
+                return writer.delivered()
             case Abandoned():
                 return CallerLeft()
             case IncompleteAnswer(answer_begun=True):
                 return CutShort()
         reason = retry_reason(outcome)
         if reason is None:
-            return Refused(_late(call))
-        progress.last_reason = reason.replace('-', ' ')
+            return Refused(_timeout_refusal(call))
+        progress.last_failure = reason.replace('-', ' ')
         if self._may_retry(call, outcome, reason):
             return None
-        return Refused(self._failure(call, progress, progress.last_reason))
+        return Refused(
+            self._failure_refusal(call, progress, progress.last_failure)
+        )
 
     def _may_retry(
         self,
@@ -337,7 +358,7 @@
         outcome: AttemptOutcome,
         reason: RetryReason,
     ) -> bool:
-        left = call.time_left
+        remaining = call.time_left
         workload = call.route.workload.name
         verdict = judge_retry(
             FailedAttempt(
@@ -345,7 +366,7 @@
                 may_have_run=may_have_run(outcome),
                 is_repeatable=not call.route.is_once,
                 body_consumed=call.is_body_consumed,
-                time_left=NO_DEADLINE if left is None else left,
+                time_left=NO_DEADLINE if remaining is None else remaining,
                 time_needed=HOP_MARGIN_SECONDS,
             ),
             self._budgets.of(workload),
@@ -356,28 +377,30 @@
         self._metrics.retries_withheld.add(str(verdict), workload)
         return False
 
-    def _failure(self, call: Call, progress: _Progress, why: str) -> Refusal:
+    def _failure_refusal(
+        self, call: Call, progress: _Progress, failure_reason: str
+    ) -> Refusal:
         if progress.ran and call.route.is_once:
-            return problem.outcome_unknown(why)
-        return problem.upstream_failed(why, not_run=not progress.ran)
+            return problem.outcome_unknown(failure_reason)
+        return problem.upstream_failed(failure_reason, not_run=not progress.ran)
 
 
-class _Relay:
-    """Hands one answer on to the caller and keeps a copy while small."""
+class _AnswerWriter:
+    """Forwards one answer to the caller and keeps a copy if it is small."""
 
-    def __init__(self, sink: AnswerSink, place: str) -> None:
+    def __init__(self, sink: AnswerSink, destination: str) -> None:
         self.head: IncomingHead | None = None
-        self.place = place
+        self.destination = destination
         self._sink = sink
         self._copy: list[bytes] = []
         self._size = 0
 
     def begin(self, head: IncomingHead) -> None:
-        clean = IncomingHead(head.status, head.reason)
-        clean.headers.extend(forwarded_answer_headers(head))
+        forwarded = IncomingHead(head.status, head.reason)
+        forwarded.headers.extend(forwarded_answer_headers(head))
         self.head = head
-        self._clean = clean
-        self._sink.begin(clean)
+        self._forwarded_head = forwarded
+        self._sink.begin(forwarded)
 
     async def write(self, chunk: bytes) -> None:
         self._size += len(chunk)
@@ -388,17 +411,17 @@
     def end(self) -> None:
         self._sink.end()
 
-    def cut(self) -> None:
-        self._sink.cut()
+    def disconnect(self) -> None:
+        self._sink.disconnect()
 
     def delivered(self) -> Delivered:
         is_small = self._size <= KEPT_ANSWER_BYTES
         body = b''.join(self._copy) if is_small else None
-        return Delivered(self._clean, body)
+        return Delivered(self._forwarded_head, body)
 
 
 def forwarded_answer_headers(head: IncomingHead) -> list[tuple[str, str]]:
-    """Return the answer's headers that go on to the caller."""
+    """Return the headers of an answer that are forwarded to the caller."""
     kept = list(forwarded_headers(head.headers))
     length = head.first('content-length')
     if length is not None:
@@ -406,27 +429,31 @@
     return kept
 
 
-async def _carry(exchange: Exchange, relay: _Relay) -> AttemptOutcome:
+async def _run_exchange(
+    exchange: Exchange, writer: _AnswerWriter
+) -> AttemptOutcome:
     exchange.start()
     try:
         head = await exchange.head()
-        if head is not None and not _is_not_run(head):
-            await _pump(exchange, relay, head)
+        if head is not None and not _is_declared_not_run(head):
+            await _forward_answer(exchange, writer, head)
         outcome = await exchange.outcome()
     except asyncio.CancelledError:
         exchange.abort()
         await exchange.outcome()
         raise
     match outcome:
-        case Answered() if relay.head is not None:
-            relay.end()
-        case IncompleteAnswer(answer_begun=True) if relay.head is not None:
-            relay.cut()
+        case Answered() if writer.head is not None:
+            writer.end()
+        case IncompleteAnswer(answer_begun=True) if writer.head is not None:
+            writer.disconnect()
     return outcome
 
 
-async def _pump(exchange: Exchange, relay: _Relay, head: IncomingHead) -> None:
-    relay.begin(head)
+async def _forward_answer(
+    exchange: Exchange, writer: _AnswerWriter, head: IncomingHead
+) -> None:
+    writer.begin(head)
     while True:
         try:
             chunk = await exchange.answer.get()
@@ -434,18 +461,18 @@
             return
         if not chunk:
             return
-        await relay.write(chunk)
+        await writer.write(chunk)
 
 
-def _name_of(place: LocalPlace | RemotePlace) -> str:
-    match place:
-        case LocalPlace(held=held):
+def _destination_name(destination: LocalUpstream | RemoteHost) -> str:
+    match destination:
+        case LocalUpstream(held=held):
             return held.upstream.name
-        case RemotePlace(host=host):
+        case RemoteHost(host=host):
             return host.name
 
 
-def _late(call: Call) -> Refusal:
+def _timeout_refusal(call: Call) -> Refusal:
     if call.route.is_once:
         return problem.outcome_unknown('no answer came in time')
     if call.deadline is None:
@@ -453,7 +480,7 @@
     return problem.deadline_passed(not_run=False)
 
 
-def _is_not_run(head: IncomingHead) -> bool:
+def _is_declared_not_run(head: IncomingHead) -> bool:
     return head.status >= 400 and head.first('not-run') == 'true'
 
 
--- a/src/wardstair/request/headers.py
+++ b/src/wardstair/request/headers.py
@@ -1,4 +1,4 @@
-"""Which headers pass an entry host, and which are refused."""
+"""Selects the headers that an entry host forwards or refuses."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -29,17 +29,18 @@
 
 
 class InternalHeader(StrEnum):
-    """Headers between entry hosts; refused from callers."""
+    """Headers sent between entry hosts; refused in requests of callers."""
 
     origin_region = 'X-Wardstair-Origin-Region'
     purpose = 'X-Wardstair-Purpose'
 
 
 class HopPurpose(StrEnum):
-    """Why a request was sent to another entry host.
+    """Purpose for which a request is sent to another entry host.
 
-    `serve` asks for a slot of the receiver's zone and nothing more; `home`
-    asks the receiver to decide by the request's key.
+    With `serve` the receiver uses only upstreams of its own zone. With `owner`
+    the receiver owns the key of the request, and checks whether the request
+    has run before.
     """
 
     serve = 'serve'
@@ -50,17 +51,17 @@
 
 
 def internal_header_names(headers: Headers) -> list[str]:
-    """Return the names of internal headers among the given ones."""
+    """Return the names of the internal headers."""
     return [
         name for name, _ in headers if name.lower().startswith(INTERNAL_PREFIX)
     ]
 
 
 def forwarded_headers(headers: Headers) -> tuple[tuple[str, str], ...]:
-    """Return the headers that are sent on.
+    """Return the headers that are forwarded.
 
-    Hop-by-hop headers, those that `Connection` names, internal ones and
-    those that wardstair sets itself are left out.
+    Hop-by-hop headers, headers named by `Connection`, internal headers and
+    headers that wardstair sets itself are omitted.
     """
     pairs = list(headers)
     named = {
--- a/src/wardstair/request/lookup.py
+++ b/src/wardstair/request/lookup.py
@@ -1,4 +1,4 @@
-"""Answers to callers that ask which entry hosts to use."""
+"""Answers to look-ups: which entry hosts a caller should use."""
 
 import json
 from collections.abc import Callable, Sequence
@@ -15,12 +15,12 @@
 from wardstair.version.topology import Topology
 
 HOSTS_IN_ANSWER = 4
-SHARE_STEPS = 1000
+SHARE_DENOMINATOR = 1000
 
 
 @dataclass(frozen=True)
 class RankedHost:
-    """An entry host that may stand in an answer."""
+    """An entry host that an answer may list."""
 
     model: HostModel
     identity: Identity
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True)
 class ShiftShare:
-    """The part of look-ups that a shift sends elsewhere.
+    """The share of look-ups that a shift directs to another region.
 
     Attributes:
-        target: Region that they are sent to.
-        per_mille: Callers out of a thousand, by stable hash.
+        target: Region to which they are directed.
+        per_mille: Number of callers per thousand, chosen by a stable hash.
     """
 
     target: str
@@ -41,11 +41,11 @@
 
 @dataclass(frozen=True)
 class LookupQuery:
-    """A checked look-up.
+    """A validated look-up.
 
     Attributes:
         workload: Name of the workload.
-        address: Number of the caller's address.
+        address: IPv4 address of the caller as an integer.
     """
 
     workload: str
@@ -54,11 +54,11 @@
 
 @dataclass(frozen=True)
 class PreparedAnswer:
-    """One order of hosts, rendered ahead.
+    """A pre-rendered answer with the hosts in one order.
 
     Attributes:
         body: JSON without its closing brace.
-        owner: First host, to which a key may belong.
+        owner: The first host, which owns a key issued with the answer.
     """
 
     body: bytes
@@ -70,11 +70,12 @@
 
 
 class LookupAnswers:
-    """Look-up answers of one version and one view of the fleet.
+    """Look-up answers for one version and one view of the fleet.
 
-    Everything that depends on the caller's address only through its region
-    is rendered at its first use and kept; a look-up is then a bisection and
-    a table access. A host hardly ever answers for all regions.
+    The parts that depend only on the region of the caller are rendered on
+    first use and cached, so that a look-up costs a bisection and a table
+    access. They are not rendered in advance, since a host is rarely asked
+    for all regions.
     """
 
     def __init__(
@@ -84,13 +85,13 @@
         shares: dict[tuple[str, str], ShiftShare],
         own_region: str,
     ) -> None:
-        """Prepare without rendering anything.
+        """Create the answers without rendering any.
 
         Args:
             topology: The version in force.
-            ranking: Hosts for a workload and region, best first.
-            shares: Shift shares by workload and source region.
-            own_region: Region for callers that no block covers.
+            ranking: Returns the hosts for a workload and region, best first.
+            shares: Shares of shifts, by workload and source region.
+            own_region: Region used for callers in no address block.
         """
         self._topology = topology
         self._ranking = ranking
@@ -99,7 +100,7 @@
         self._workloads = frozenset(
             workload.name for workload in topology.document.workloads
         )
-        self._once = frozenset(
+        self._at_most_once = frozenset(
             workload.name
             for workload in topology.document.workloads
             if any(route.repeat == 'once' for route in workload.routes)
@@ -116,33 +117,37 @@
 
         Args:
             query: The look-up.
-            issue: Makes a key for a request that may run at most once.
-            age: Seconds since the version was confirmed as the newest.
+            issue: Issues a key for a request that may run at most once.
+            age: Seconds since the version was last confirmed as the newest.
         """
-        place = (query.workload, self.region_of(query))
-        rotations = self._answers.get(place)
+        ranking_key = (query.workload, self.region_of(query))
+        rotations = self._answers.get(ranking_key)
         if rotations is None:
-            ranked = self._ranking(*place)
-            rotations = _rotations(self._topology, place, ranked)
-            self._answers[place] = rotations
+            ranked = self._ranking(*ranking_key)
+            rotations = _render_rotations(self._topology, ranking_key, ranked)
+            self._answers[ranking_key] = rotations
         if not rotations:
             return None
-        prepared = rotations[_spread(query.address) % len(rotations)]
+        prepared = rotations[_hash_number(query.address) % len(rotations)]
         parts = (prepared.body, age)
-        if query.workload in self._once:
+        if query.workload in self._at_most_once:
             key = str(issue(prepared.owner)).encode()
             return b'%b,"age_seconds":%.1f,"key":"%b"}' % (*parts, key)
         return b'%b,"age_seconds":%.1f}' % parts
 
     def region_of(self, query: LookupQuery) -> str:
-        """Return the region that a caller is sent to."""
-        home = self._topology.caller_region(query.address)
-        region = home or self._own_region
+        """Return the region to which a caller is directed."""
+        region_of_caller = self._topology.caller_region(query.address)
+        region = region_of_caller or self._own_region
         share = self._shares.get((query.workload, region))
         if share is None:
             return region
-        # Whole /24 blocks move together, as resolvers and caches do.
-        if _spread(query.address >> 8) % SHARE_STEPS < share.per_mille:
+        # A /24 block is directed as a whole, as resolvers and caches treat
+        # it as a unit.
+        if (
+            _hash_number(query.address >> 8) % SHARE_DENOMINATOR
+            < share.per_mille
+        ):
             return share.target
         return region
 
@@ -151,7 +156,7 @@
         workload: str | None,
         address: str,
     ) -> LookupQuery | Refusal:
-        """Check the parameters of a look-up."""
+        """Validate the parameters of a look-up."""
         if workload is None or workload not in self._workloads:
             return Refusal(
                 RefusalKind.no_route,
@@ -169,29 +174,32 @@
             )
 
 
-def _spread(number: int) -> int:
+def _hash_number(number: int) -> int:
     return xxh32_intdigest(number.to_bytes(4, 'big'))
 
 
-def _rotations(
+def _render_rotations(
     topology: Topology,
-    place: tuple[str, str],
+    ranking_key: tuple[str, str],
     ranked: Sequence[RankedHost],
 ) -> list[PreparedAnswer]:
-    """Render an answer for each host of the region as the first one."""
-    workload, region = place
-    near = [
+    """Render one answer for each host of the region, listing it first.
+
+    Without a host in the region, each of the other hosts is listed first.
+    """
+    workload, region = ranking_key
+    local = [
         host
         for host in ranked
         if topology.zone_regions[host.model.zone] == region
     ]
-    far = [host for host in ranked if host not in near]
-    leading = near or far
-    rest = far if near else []
+    remote = [host for host in ranked if host not in local]
+    preferred = local or remote
+    fallback = remote if local else []
     rotations = []
-    for index, _ in enumerate(leading):
-        order = [*leading[index:], *leading[:index], *rest]
-        chosen = order[:HOSTS_IN_ANSWER]
+    for index, _ in enumerate(preferred):
+        ordered = [*preferred[index:], *preferred[:index], *fallback]
+        chosen = ordered[:HOSTS_IN_ANSWER]
         body = json.dumps(
             {
                 'workload': workload,
--- a/src/wardstair/request/problem.py
+++ b/src/wardstair/request/problem.py
@@ -9,7 +9,7 @@
 
 
 def problem_body(refusal: Refusal, request_id: str) -> bytes:
-    """Return the JSON body that tells a caller of a refusal."""
+    """Return the JSON body that describes a refusal to the caller."""
     return json.dumps(
         {
             'type': _TYPE_PREFIX + refusal.kind,
@@ -25,7 +25,7 @@
 
 
 def no_route(method: str, path: str) -> Refusal:
-    """Refuse a request that no route covers."""
+    """Refuse a request that matches no route."""
     return Refusal(
         RefusalKind.no_route,
         404,
@@ -36,7 +36,7 @@
 
 
 def key_required() -> Refusal:
-    """Refuse a request that may not be repeated and has no key."""
+    """Refuse a request without a key that may run at most once."""
     return Refusal(
         RefusalKind.key_required,
         428,
@@ -47,7 +47,7 @@
 
 
 def key_mismatch() -> Refusal:
-    """Refuse a key that stands for another request."""
+    """Refuse a key that was used for another request."""
     return Refusal(
         RefusalKind.key_mismatch,
         422,
@@ -58,7 +58,7 @@
 
 
 def already_run() -> Refusal:
-    """Tell that the request has run and its answer is no longer kept."""
+    """Report that the request has run and its answer was not kept."""
     return Refusal(
         RefusalKind.already_run,
         409,
@@ -69,7 +69,7 @@
 
 
 def outcome_unknown(reason: str) -> Refusal:
-    """Tell that the request may or may not have run."""
+    """Report that it is unknown whether the request has run."""
     return Refusal(
         RefusalKind.outcome_unknown,
         502,
@@ -80,7 +80,7 @@
 
 
 def key_table_full(retry_after: float) -> Refusal:
-    """Refuse new work because no key may be forgotten yet."""
+    """Refuse a new key, since no recorded key may be dropped yet."""
     return Refusal(
         RefusalKind.key_table_full,
         503,
@@ -92,7 +92,7 @@
 
 
 def overloaded(retry_after: int, *, not_run: bool) -> Refusal:
-    """Refuse a request for which no slot came free in time."""
+    """Refuse a request for which no slot became free in time."""
     return Refusal(
         RefusalKind.overloaded,
         503,
@@ -104,7 +104,7 @@
 
 
 def no_upstream(workload: str, *, not_run: bool) -> Refusal:
-    """Refuse a request whose workload has no upstream that can serve."""
+    """Refuse a request whose workload has no usable upstream."""
     return Refusal(
         RefusalKind.no_upstream,
         503,
@@ -116,7 +116,7 @@
 
 
 def cap_reached(name: str) -> Refusal:
-    """Refuse traffic from outside that is over its cap."""
+    """Refuse traffic from other regions that exceeds its cap."""
     return Refusal(
         RefusalKind.cap_reached,
         503,
@@ -139,7 +139,7 @@
 
 
 def upstream_failed(reason: str, *, not_run: bool) -> Refusal:
-    """Tell that the attempts at a repeatable request failed."""
+    """Report that the attempts at a repeatable request failed."""
     return Refusal(
         RefusalKind.upstream_failed,
         502,
@@ -151,7 +151,7 @@
 
 
 def body_too_large(limit: int) -> Refusal:
-    """Refuse a body that this route cannot take."""
+    """Refuse a body that is too large for its route."""
     return Refusal(
         RefusalKind.body_too_large,
         413,
@@ -162,12 +162,12 @@
 
 
 def bad_header(message: str, hint: str) -> Refusal:
-    """Refuse a request with a header that may not be sent."""
+    """Refuse a request with an invalid or forbidden header."""
     return Refusal(RefusalKind.bad_header, 400, message, hint, not_run=True)
 
 
 def bad_framing(message: str) -> Refusal:
-    """Refuse a request whose length is ambiguous."""
+    """Refuse a request whose target or body length is malformed."""
     return Refusal(
         RefusalKind.bad_framing,
         400,
@@ -178,7 +178,7 @@
 
 
 def stopping() -> Refusal:
-    """Refuse new work on a host that is about to end."""
+    """Refuse new requests on a host that is stopping."""
     return Refusal(
         RefusalKind.stopping,
         503,
