--- a/src/wardstair/errors.py
+++ b/src/wardstair/errors.py
@@ -1,7 +1,7 @@
-"""Error kinds of wardstair.
+"""Errors of wardstair.
 
-Every kind carries a message, the context in which it arose and a hint that
-names the remedy, so that a log line or an answer is enough to act on.
+Each error has a message and a hint with the remedy, so that a log line or an
+answer is sufficient to act on; exceptions also have a context.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class RefusalKind(StrEnum):
-    """Why a request was refused; stable names for programs."""
+    """Reasons for refusing a request, with stable names for programs."""
 
     no_route = 'no-route'
     key_required = 'key-required'
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """A typed refusal of one request.
+    """Refusal of a request.
 
     Attributes:
         kind: The stable name of the reason.
         status: HTTP status code of the answer.
-        message: What happened, for a person.
+        message: Description for people.
         hint: What the caller can do about it.
-        not_run: True only if the request provably never ran.
+        not_run: True only if the request certainly has not run.
         retry_after: Seconds after which a retry makes sense, or None.
     """
 
@@ -64,11 +64,11 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault in a settings or configuration file.
+    """A fault in a settings or configuration file.
 
     Attributes:
-        source: The file that holds the fault.
-        key: Dotted path of the key at fault.
+        source: Path of the file.
+        key: Dotted path of the faulty key.
         message: What is wrong.
         hint: What to do.
     """
@@ -79,21 +79,21 @@
     hint: str
 
     def __str__(self) -> str:
-        """Return the one-line form that `wardstair-check` prints."""
+        """Return the line that `wardstair-check` prints."""
         return f'{self.source}: {self.key}: {self.message}; {self.hint}'
 
 
 class WardstairError(Exception):
-    """Base of the errors that wardstair raises itself.
+    """Base class of the exceptions that wardstair raises.
 
     Args:
         message: What happened.
         hint: The remedy.
-        context: Values that help to find the cause, by name.
+        context: Values by name that help to find the cause.
     """
 
     def __init__(self, message: str, hint: str, **context: object) -> None:
-        """Keep the three parts apart for logs and join them for people."""
+        """Store the parts for logs and join message and hint into a text."""
         super().__init__(f'{message}; {hint}')
         self.message = message
         self.hint = hint
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True)
 class PlatformUnavailable:
-    """The platform did not answer; the effect of a write is not known."""
+    """The platform did not answer; a write may or may not have taken effect."""
 
     message: str
     hint: str = 'try again later; read the object back after a write'
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True)
 class VersionConflict:
-    """A conditional update met another version than it named."""
+    """A conditional update named a version that is not the current one."""
 
     name: str
     hint: str = 'read the object again and decide anew'
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True)
 class ObjectMissing:
-    """The platform holds no object of that name."""
+    """The platform has no object of that name."""
 
     name: str
     hint: str = 'create the object first, or check its name'
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True)
 class WatchForgotten:
-    """The platform no longer knows the revision that a watch resumes at."""
+    """The platform no longer has the revision from which a watch resumes."""
 
     revision: int
     hint: str = 'list the objects again and watch from the new revision'
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True)
 class BudgetSpent:
-    """The local budget of platform calls is used up for now."""
+    """The local budget for calls to the platform is currently exhausted."""
 
     retry_after: float
     hint: str = 'wait for the stated seconds'
--- a/src/wardstair/platform/__init__.py
+++ b/src/wardstair/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What speaks the municipal platform's protocols, and nothing else."""
+"""Adapters for the protocols of the municipal platform."""
--- a/src/wardstair/platform/bounds.py
+++ b/src/wardstair/platform/bounds.py
@@ -1,4 +1,4 @@
-"""The operators' bounds, decoded from the texts of the settings file."""
+"""Decodes the operators' bounds from the settings file."""
 
 import math
 from dataclasses import dataclass
@@ -7,27 +7,28 @@
 from wardstair.gateway.settings import Bounds, Gap, OrganisationBounds
 
 _MILLISECONDS = 1000
-# Where the platform lists its bounds, the template puts an entry's number
-# before the entry's own `name=value`.
-_PARTS_OF_LISTED = 3
+# If the platform passes its bounds as a list, the template prepends the index
+# of an entry to its `name=value`.
+_INDEXED_ENTRY_PARTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class _Bound:
-    """A bound as the platform names it.
+    """A bound as the platform defines it.
 
     Attributes:
-        name: Its name.
-        unit: How many of the platform's units make one of ours.
-        minimum: The smallest value that makes sense, in the platform's unit.
+        name: Name on the platform.
+        divisor: Number by which a value in the platform's unit is divided to
+            convert it to the internal unit.
+        minimum: Smallest valid value, in the platform's unit.
     """
 
     name: str
-    unit: int = 1
+    divisor: int = 1
     minimum: float = 0.0
 
 
-# The platform's bound of each field of `Bounds`.
+# The platform's bounds by field of `Bounds`.
 BOUNDS = {
     'drain_seconds': _Bound('drain_ms', _MILLISECONDS, minimum=1),
     'grace_seconds': _Bound('grace_s', minimum=1),
@@ -35,11 +36,11 @@
     'evacuate_seconds': _Bound('evacuate_ms', _MILLISECONDS, minimum=1),
     'contact_seconds': _Bound('contact_ms', _MILLISECONDS, minimum=1),
     'retry_ratio': _Bound('retry_budget_ratio'),
-    # A count of requests, not a time, though it stands among times.
+    # Number of requests; most other bounds are times.
     'retry_extra': _Bound('budget_extra'),
     'retry_window': _Bound('budget_window_s', minimum=1),
     'cold_overshoot': _Bound('cold_overshoot', minimum=1),
-    # Requests in one second, not a rate factor.
+    # Number of requests per second; `cold_overshoot` is a factor of the rate.
     'cold_slack': _Bound('cold_slack'),
     'lookup_seconds': _Bound('ttl_max_s'),
     'shift_share': _Bound('max_shift'),
@@ -60,11 +61,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodedBounds:
-    """Bounds with those that were not given.
+    """Decoded bounds and the missing ones.
 
     Attributes:
         bounds: All bounds.
-        gaps: Those for which a default stands in.
+        gaps: Missing bounds, for which the default applies.
     """
 
     bounds: Bounds
@@ -72,28 +73,28 @@
 
 
 def decode_bounds(texts: tuple[str, ...]) -> DecodedBounds:
-    """Decode the bounds; one that is not given gets its cautious default.
+    """Decode the bounds; a missing one gets its strict default.
 
     Args:
-        texts: One `name=value` or `number=name=value` each; names that mean
-            nothing here are ignored.
+        texts: Entries of the form `name=value` or `index=name=value`; unknown
+            names are ignored.
 
     Raises:
-        ConfigurationError: An entry has no name, or its value cannot be used.
+        ConfigurationError: An entry has no name, or its value is invalid.
     """
-    given = dict(_named(text) for text in texts)
-    stated = {
+    given = dict(_split_entry(text) for text in texts)
+    decoded = {
         field: _decode(bound, given[bound.name])
         for field, bound in BOUNDS.items()
         if bound.name in given
     }
-    plain = Bounds()
+    defaults = Bounds()
     gaps = tuple(
-        Gap(f'bounds.{bound.name}', getattr(plain, field) * bound.unit)
+        Gap(f'bounds.{bound.name}', getattr(defaults, field) * bound.divisor)
         for field, bound in BOUNDS.items()
-        if field not in stated
+        if field not in decoded
     )
-    return DecodedBounds(Bounds(**stated), gaps)
+    return DecodedBounds(Bounds(**decoded), gaps)
 
 
 def decode_organisation_bounds(texts: tuple[str, ...]) -> OrganisationBounds:
@@ -103,38 +104,38 @@
         texts: As for `decode_bounds`.
 
     Raises:
-        ConfigurationError: A value cannot be used.
+        ConfigurationError: A value is invalid.
     """
-    given = dict(_named(text) for text in texts)
-    stated = {
+    given = dict(_split_entry(text) for text in texts)
+    decoded = {
         field: _decode(bound, given[bound.name])
         for field, bound in _QUOTAS.items()
         if bound.name in given
     }
     is_strict = _decode_flag(given.get(_STRICT_REVOKE, 'false'))
     if is_strict and _REVOKE.name in given:
-        stated['revoke_seconds'] = _decode(_REVOKE, given[_REVOKE.name])
-    return OrganisationBounds(**stated)
+        decoded['revoke_seconds'] = _decode(_REVOKE, given[_REVOKE.name])
+    return OrganisationBounds(**decoded)
 
 
 def _decode_flag(text: str) -> bool:
     if text not in _FLAGS:
         raise ConfigurationError(
-            f'the bound {_STRICT_REVOKE} cannot be used: {text}',
+            f'the bound {_STRICT_REVOKE} is not a boolean: {text}',
             f'set {_STRICT_REVOKE}=true or {_STRICT_REVOKE}=false',
         )
     return _FLAGS[text]
 
 
-def _named(text: str) -> tuple[str, str]:
+def _split_entry(text: str) -> tuple[str, str]:
     parts = text.split('=')
-    if len(parts) == _PARTS_OF_LISTED and parts[0].isdecimal():
+    if len(parts) == _INDEXED_ENTRY_PARTS and parts[0].isdecimal():
         parts = parts[1:]
     name = parts[0].strip()
     if len(parts) != 2 or not name or name.isdecimal():
         raise ConfigurationError(
             f'the bound {text} has no name',
-            'write it as name=number',
+            'write it as name=value',
         )
     return name, parts[1].strip()
 
@@ -143,14 +144,14 @@
     try:
         number = float(text)
     except ValueError as error:
-        raise _unusable(bound, text) from error
+        raise _invalid_value(bound, text) from error
     if not math.isfinite(number) or number < bound.minimum:
-        raise _unusable(bound, text)
-    return number / bound.unit
+        raise _invalid_value(bound, text)
+    return number / bound.divisor
 
 
-def _unusable(bound: _Bound, text: str) -> ConfigurationError:
+def _invalid_value(bound: _Bound, text: str) -> ConfigurationError:
     return ConfigurationError(
-        f'the bound {bound.name} cannot be used: {text}',
-        f'write it as {bound.name}=number, {bound.minimum:g} or more',
+        f'the bound {bound.name} has an invalid value: {text}',
+        f'write it as {bound.name}=number, {bound.minimum:g} or greater',
     )
--- a/src/wardstair/platform/headers.py
+++ b/src/wardstair/platform/headers.py
@@ -1,7 +1,7 @@
-"""The platform's header names, and what stands behind them.
+"""Decodes and encodes the platform's HTTP headers.
 
-Callers and upstreams share one set. Everything outside this folder sees the
-decoded types only.
+Callers and upstreams use the same header names. Code outside this package uses
+only the decoded types.
 """
 
 import math
@@ -11,18 +11,19 @@
 from enum import StrEnum
 
 REQUEST_ID = 'Wardstair-Attempt-Id'
-# Milliseconds that the sender will still wait, not a point in time.
+# Milliseconds for which the sender still waits, not a point in time.
 TIME_LEFT = 'Wardstair-Deadline-Ms'
-# The value of one cookie among others, not a header of its own.
+# Name of a cookie, not of a header.
 KEY_COOKIE = 'Wardstair-Affinity-Key'
-EXPECTED_RUN = 'Wardstair-Expect-Instance'
-# The caller's bare API key; must not be sent to upstreams.
+EXPECTED_INSTANCE = 'Wardstair-Expect-Instance'
+# The caller's plain API key; must not be sent to upstreams.
 API_KEY = 'Wardstair-Credential'
-# Name of the organisation that holds the key. Values from callers are dropped:
-# only the gateway may set it.
+# Name of the organisation that the key belongs to. Only the gateway may set it;
+# values from callers are dropped.
 ORGANISATION = 'Wardstair-Tenant'
 _MILLISECONDS = 1000
-# What concerns one connection only (RFC 9110, 7.6.1), and what is set anew.
+# Headers that concern a single connection (RFC 9110, section 7.6.1), and
+# headers that are set anew on the next one.
 _HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -38,45 +39,48 @@
         'proxy-authorization',
     )
 )
-_SET_ANEW = frozenset(
-    name.lower() for name in (TIME_LEFT, EXPECTED_RUN, API_KEY, ORGANISATION)
+# Headers from callers that the gateway drops or replaces.
+_REPLACED = frozenset(
+    name.lower()
+    for name in (TIME_LEFT, EXPECTED_INSTANCE, API_KEY, ORGANISATION)
 )
 
 Pairs = Sequence[tuple[str, str]]
-# An upstream that is to end soon says so with this value.
-_IS_LEAVING = '1'
-# The users write "a decimal number": no sign, no exponent, no word.
+# Value of the leaving header of an upstream that is about to exit.
+_LEAVING_VALUE = '1'
+# The platform specifies "a decimal number": no sign, no exponent, no `inf`.
 _DECIMAL = re.compile(r'[0-9]+(\.[0-9]*)?|\.[0-9]+', re.ASCII)
 
 
-class _Read(StrEnum):
-    """Names that are read, in the lower case in which they are compared."""
+class _ReadHeader(StrEnum):
+    """Headers that are read, in lower case for comparison."""
 
     request_id = REQUEST_ID.lower()
     time_left = TIME_LEFT.lower()
     api_key = API_KEY.lower()
-    # Proves that an upstream made this answer; only upstreams can make one.
-    proof = 'wardstair-server-seal'
+    # Proves that an upstream made the answer; nothing else can create it.
+    seal = 'wardstair-server-seal'
     not_run = 'wardstair-not-executed'
-    # "running,waiting,slots" of the upstream when it answered.
+    # `running,waiting,slots` of the upstream at the time of the answer.
     load = 'wardstair-server-load'
-    # Requests a second that it takes from all hosts together, while it says so.
+    # Requests per second that the upstream accepts from all hosts together; it
+    # applies while the upstream sends the header.
     limit = 'server-limit'
     leaving = 'server-leaving'
-    # Seconds, never a date.
+    # In seconds; the platform does not use the date form.
     retry_after = 'retry-after'
 
 
 @dataclass(frozen=True, slots=True)
 class CallerFields:
-    """What a caller's head says beside method and target.
+    """Decoded headers of a caller's request.
 
     Attributes:
-        request_id: Names this try of the caller; empty if there is none.
-        key: What the request concerns, or None.
-        seconds_left: How long the caller will wait, or None.
-        forwarded_headers: Headers that go on to the upstream.
-        api_keys: The values of all API key headers.
+        request_id: Identifies this attempt of the caller; empty if absent.
+        key: Affinity key of the request, or None.
+        seconds_left: Seconds for which the caller still waits, or None.
+        forwarded_headers: Headers to forward to the upstream.
+        api_keys: Values of all API key headers.
     """
 
     request_id: str
@@ -88,12 +92,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """Load that an upstream told in an answer.
+    """Load that an upstream reported in an answer.
 
     Attributes:
-        running: Requests it worked on.
-        waiting: Requests in its queue.
-        slots: Requests it can work on at once.
+        running: Number of requests in progress.
+        waiting: Number of requests in its queue.
+        slots: Number of requests that it can process concurrently.
     """
 
     running: int
@@ -108,11 +112,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLimit:
-    """What an upstream names as its limit in an answer.
+    """Request rate limit that an upstream reported in an answer.
 
     Attributes:
-        rate: Requests a second from all hosts together, maybe infinite; None
-            if what it names cannot be read.
+        rate: Requests per second from all hosts together, possibly infinite;
+            None if the value is invalid.
     """
 
     rate: float | None
@@ -120,19 +124,20 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamFields:
-    """What the head of an upstream's answer says beside the status.
+    """Decoded headers of an upstream's answer.
 
     Attributes:
-        request_id: The request it answers; empty if it does not say.
-        has_seal: Whether it carries the upstream's proof.
-        is_not_run: Whether it says that the request has not run.
-        load: The upstream's load, if told.
-        limit: What it names as its limit; None if it names none.
-        is_leaving: Whether it says that it will end soon.
-        retry_after: Seconds after which it may be asked again; None if it
-            names no time that can be read.
-        keep_seconds: Seconds for which it keeps a resting connection.
-        forwarded_headers: Headers that go on to the caller.
+        request_id: ID of the answered request; empty if absent.
+        has_seal: Whether the answer has the seal of an upstream.
+        is_not_run: Whether the upstream did not run the request.
+        load: The reported load, or None.
+        limit: The reported rate limit, or None.
+        is_leaving: Whether the upstream is about to exit.
+        retry_after: Seconds after which the upstream accepts requests again;
+            None if absent or invalid.
+        keep_seconds: Seconds for which the upstream keeps an idle connection
+            open, or None.
+        forwarded_headers: Headers to forward to the caller.
     """
 
     request_id: str
@@ -152,48 +157,49 @@
     key = None
     seconds_left = None
     api_keys: tuple[str, ...] = ()
-    forwarded_headers = []
-    dropped = _HOP_BY_HOP | _SET_ANEW
+    received = []
+    dropped = _HOP_BY_HOP | _REPLACED
     for name, text in pairs:
         match name.lower():
             case 'connection':
-                dropped = dropped | _named_in(text)
-            case _Read.request_id:
+                dropped = dropped | _connection_options(text)
+            case _ReadHeader.request_id:
                 request_id = text
-            case _Read.time_left:
-                seconds_left = _milliseconds(text)
-            case _Read.api_key:
+            case _ReadHeader.time_left:
+                seconds_left = _parse_milliseconds(text)
+            case _ReadHeader.api_key:
                 api_keys = (*api_keys, text)
             case 'cookie':
-                key = _cookie(text) or key
-        forwarded_headers.append((name, text))
-    kept = tuple(
-        pair for pair in forwarded_headers if pair[0].lower() not in dropped
-    )
+                key = _affinity_key(text) or key
+        received.append((name, text))
+    kept = tuple(pair for pair in received if pair[0].lower() not in dropped)
     return CallerFields(request_id, key, seconds_left, kept, api_keys)
 
 
 def encode_upstream(
     forwarded_headers: Pairs,
     seconds_left: float,
-    expected_run: str,
+    expected_instance: str,
     organisation: str = '',
 ) -> list[tuple[str, str]]:
-    """Return the headers of a request to an upstream, without its length.
+    """Return the headers of a request to an upstream, without Content-Length.
 
     Args:
-        forwarded_headers: The caller's headers that go on.
-        seconds_left: Seconds that the upstream may take.
-        expected_run: Name of the upstream's run that is meant; any other
-            that has taken over its address turns the request away.
+        forwarded_headers: The caller's headers to forward.
+        seconds_left: Seconds within which the upstream must answer.
+        expected_instance: Name of the intended upstream instance; another
+            instance that has taken over its address rejects the request.
         organisation: Name of the organisation that makes the request; empty
             if unknown.
     """
-    left = max(1, math.floor(seconds_left * _MILLISECONDS))
-    set_anew = [(TIME_LEFT, str(left)), (EXPECTED_RUN, expected_run)]
+    milliseconds = max(1, math.floor(seconds_left * _MILLISECONDS))
+    replaced = [
+        (TIME_LEFT, str(milliseconds)),
+        (EXPECTED_INSTANCE, expected_instance),
+    ]
     if organisation:
-        set_anew.append((ORGANISATION, organisation))
-    return [*forwarded_headers, *set_anew]
+        replaced.append((ORGANISATION, organisation))
+    return [*forwarded_headers, *replaced]
 
 
 def decode_upstream(pairs: Pairs) -> UpstreamFields:
@@ -204,60 +210,58 @@
     load = None
     limit = None
     keep_seconds = None
-    forwarded_headers = []
+    received = []
     dropped = _HOP_BY_HOP
     for name, text in pairs:
         match name.lower():
-            case _Read.request_id:
+            case _ReadHeader.request_id:
                 request_id = text
-            case _Read.proof:
+            case _ReadHeader.seal:
                 has_seal = bool(text)
-            case _Read.not_run:
+            case _ReadHeader.not_run:
                 is_not_run = True
-            case _Read.load:
-                load = _load(text)
-            case _Read.limit:
-                limit = _limit(text)
+            case _ReadHeader.load:
+                load = _parse_load(text)
+            case _ReadHeader.limit:
+                limit = _parse_limit(text)
             case 'keep-alive':
-                keep_seconds = _keep_seconds(text)
+                keep_seconds = _parse_keep_alive(text)
             case 'connection':
-                dropped = dropped | _named_in(text)
-        forwarded_headers.append((name, text))
-    kept = tuple(
-        pair for pair in forwarded_headers if pair[0].lower() not in dropped
-    )
+                dropped = dropped | _connection_options(text)
+        received.append((name, text))
+    kept = tuple(pair for pair in received if pair[0].lower() not in dropped)
     return UpstreamFields(
         request_id,
         has_seal,
         is_not_run,
         load,
         limit,
-        _IS_LEAVING in _values(pairs, _Read.leaving),
-        _longest_seconds(_values(pairs, _Read.retry_after)),
+        _LEAVING_VALUE in _header_values(pairs, _ReadHeader.leaving),
+        _max_seconds(_header_values(pairs, _ReadHeader.retry_after)),
         keep_seconds,
         kept,
     )
 
 
-def _named_in(connection: str) -> frozenset[str]:
+def _connection_options(connection: str) -> frozenset[str]:
     return frozenset(name.strip().lower() for name in connection.split(','))
 
 
-def _milliseconds(text: str) -> float | None:
+def _parse_milliseconds(text: str) -> float | None:
     if not text.isdecimal():
         return None
     return int(text) / _MILLISECONDS
 
 
-def _cookie(text: str) -> str | None:
-    for crumb in text.split(';'):
-        name, _, value = crumb.strip().partition('=')
+def _affinity_key(text: str) -> str | None:
+    for cookie_pair in text.split(';'):
+        name, _, value = cookie_pair.strip().partition('=')
         if name == KEY_COOKIE:
             return value
     return None
 
 
-def _load(text: str) -> ReportedLoad | None:
+def _parse_load(text: str) -> ReportedLoad | None:
     parts = text.split(',')
     if len(parts) != 3 or not all(part.strip().isdecimal() for part in parts):
         return None
@@ -265,15 +269,15 @@
     return ReportedLoad(running, waiting, slots)
 
 
-def _limit(text: str) -> ReportedLimit:
-    figure = text.strip()
-    if _DECIMAL.fullmatch(figure) is None:
+def _parse_limit(text: str) -> ReportedLimit:
+    decimal = text.strip()
+    if _DECIMAL.fullmatch(decimal) is None:
         return ReportedLimit(None)
-    return ReportedLimit(float(figure))
+    return ReportedLimit(float(decimal))
 
 
-def _values(pairs: Pairs, header: str) -> list[str]:
-    """Return all values of a header that may be there more than once."""
+def _header_values(pairs: Pairs, header: str) -> list[str]:
+    """Return all values of a header that may occur more than once."""
     return [
         value.strip()
         for name, text in pairs
@@ -282,12 +286,12 @@
     ]
 
 
-def _longest_seconds(values: list[str]) -> float | None:
-    figures = [float(value) for value in values if _DECIMAL.fullmatch(value)]
-    return max(figures, default=None)
+def _max_seconds(values: list[str]) -> float | None:
+    numbers = [float(value) for value in values if _DECIMAL.fullmatch(value)]
+    return max(numbers, default=None)
 
 
-def _keep_seconds(text: str) -> float | None:
+def _parse_keep_alive(text: str) -> float | None:
     for part in text.split(','):
         name, _, value = part.strip().partition('=')
         if name.lower() == 'timeout' and value.isdecimal():
--- a/src/wardstair/platform/lookups.py
+++ b/src/wardstair/platform/lookups.py
@@ -1,4 +1,4 @@
-"""Look-ups and readiness as the platform asks for them."""
+"""Look-up and readiness endpoints of the platform."""
 
 import json
 from collections.abc import Sequence
@@ -7,18 +7,18 @@
 
 READY_PATH = '/readyz'
 LOOKUP_PATH = '/resolve'
-# The platform takes no more addresses in one answer.
+# The platform accepts at most this many addresses in an answer.
 MAX_ADDRESSES = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Lookup:
-    """What a caller asks.
+    """Look-up query of a caller.
 
     Attributes:
-        host: Host name it wants to reach.
-        region: Its own region; empty if it does not say.
-        zone: Its own availability zone; empty if it does not say.
+        host: Host name to resolve.
+        region: Region of the caller; empty if not given.
+        zone: Availability zone of the caller; empty if not given.
     """
 
     host: str
@@ -27,7 +27,7 @@
 
 
 def decode_lookup(query: str) -> Lookup:
-    """Decode the query of a look-up."""
+    """Decode the query string of a look-up."""
     fields = parse_qs(query)
     return Lookup(
         fields.get('name', [''])[0],
@@ -41,7 +41,7 @@
 
     Args:
         addresses: Addresses (`ip:port`) of entry hosts for callers.
-        seconds: How long the answer may be kept.
+        seconds: Seconds for which the answer may be cached.
     """
     document = {
         'addresses': list(addresses[:MAX_ADDRESSES]),
--- a/src/wardstair/platform/objects.py
+++ b/src/wardstair/platform/objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store, decoded into the product's types."""
+"""Decodes and encodes objects of the platform's store."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -35,12 +35,12 @@
     index_routes,
 )
 
-# Kinds: part of the store's paths.
+# Kinds of objects; they are part of the store's paths.
 CONFIGURATION_KIND = 'config'
 CONFIGURATION_NAME = 'main'
 EVACUATION_KIND = 'evacuations'
 UPSTREAM_KIND = 'servers'
-# Kinds of our own: the entry hosts, and requests that ended upstreams.
+# Kinds that wardstair defines: entry hosts, and requests that ended upstreams.
 HOST_KIND = 'entry-hosts'
 SUSPECTS_KIND = 'suspect-requests'
 SUSPECTS_NAME = 'all'
@@ -61,7 +61,7 @@
         raise ValueError('each list entry needs a name')
     duplicate = _first_duplicate(str(one['name']) for one in named)
     if duplicate:
-        raise ValueError(f'{duplicate} appears twice in the list; remove one')
+        raise ValueError(f'the list contains {duplicate} twice; remove one')
     return {str(one['name']): one for one in named}
 
 
@@ -83,26 +83,27 @@
 class _Route(_Model):
     host: str
     path_prefix: str
-    # `upload` and `unsafe` may run once; other kinds than `safe` are taken
-    # as such, since running twice does harm and running once does not.
+    # Requests of the kinds `upload` and `unsafe` run at most once. Unknown
+    # kinds are handled like them, because a second run can do harm.
     kind: str
     timeout_ms: float = Field(gt=0)
     target_latency_ms: float = Field(gt=0)
-    # Without it as important as anything: what is, must not be put behind.
+    # 0 is the highest priority. It is the default, so that a missing priority
+    # does not delay important requests.
     priority: int = 0
     service: str | None = None
-    # The parts of a split route, in place of `service`.
+    # The services of a split route, instead of `service`.
     backends: tuple[_Share, ...] = ()
-    # Upstreams one request may be sent to, the first included.
+    # Number of upstreams to which a request may be sent, including the first.
     max_attempts: int = Field(default=1, ge=1)
     sticky: bool = False
-    # The only regions that may serve it; empty for all.
+    # Regions that may serve the route; empty for all.
     allowed_regions: tuple[str, ...] = ()
-    # Whether it serves requests without an API key.
+    # Whether requests without an API key are served.
     public: bool = False
 
     @model_validator(mode='after')
-    def _leads_somewhere(self) -> '_Route':
+    def _check_names_service(self) -> '_Route':
         if self.service is None and not any(
             share.weight > 0 for share in self.backends
         ):
@@ -112,12 +113,13 @@
 
 class _Service(_Model):
     health_path: str = '/healthz'
-    # Connections an upstream takes from all entry hosts together. Without it
-    # each host keeps to the few that it needs.
+    # Connections that an upstream accepts from all entry hosts together. If it
+    # is 0, each host opens only the few that it needs.
     max_conns: int = 0
     cold_start_s: float = 0
-    # Requests a second that a cold upstream bears from all entry hosts.
-    # Without it none are sent: the upstream may fall over.
+    # Requests per second that a cold upstream can process from all entry hosts
+    # together. If it is 0, none are sent, because they may overload the
+    # upstream.
     cold_per_s: float = 0
 
 
@@ -128,7 +130,7 @@
     idle_timeout_ms: float = 15000
 
 
-# Sent to upstreams as a header value.
+# It is sent to upstreams as a header value.
 _OrganisationName = Annotated[
     str,
     StringConstraints(pattern=r'^[\x21-\x7e]+$', max_length=256),
@@ -140,9 +142,9 @@
     api_keys: tuple[_ApiKey, ...] = ()
     # Takes precedence over the priority of the route.
     priority: int | None = None
-    # Requests per second over all entry hosts; 0 for no limit.
+    # Requests per second to all entry hosts together; 0 for no limit.
     rate_per_s: float = Field(default=0, ge=0, allow_inf_nan=False)
-    # Requests above that rate that may arrive at once.
+    # Number of requests above that rate that may arrive at once.
     burst: float = Field(default=0, ge=0, allow_inf_nan=False)
     allowed_regions: tuple[str, ...] = ()
 
@@ -165,7 +167,7 @@
             f'{route.host}{route.path_prefix}' for route in self.routes.values()
         )
         if duplicate is not None:
-            raise ValueError(f'two routes cover {duplicate}; remove one')
+            raise ValueError(f'two routes match {duplicate}; remove one')
         self._check_unique_api_keys()
         return self
 
@@ -177,7 +179,7 @@
         if unknown:
             raise ValueError(
                 f'route {name} refers to the unknown service {min(unknown)}; '
-                'define it or use another',
+                'define it or use another one',
             )
 
     def _check_unique_api_keys(self) -> None:
@@ -187,7 +189,7 @@
                 other = owners.setdefault(api_key, name)
                 if other != name:
                     raise ValueError(
-                        f'{other} and {name} hold the same API key; '
+                        f'{other} and {name} have the same API key; '
                         'remove it from one of them',
                     )
 
@@ -196,24 +198,25 @@
     zone: str
     address: str
     front: str
-    # Hosts that it knew of in all zones.
+    # Number of hosts in all zones known to the host.
     fleet: int = 0
     # Latest era in which the host knew the store to be complete.
     era: int = 0
 
 
-# As `decisions.request_identity` names requests. Anything else would fail each
-# host that hands the table on.
+# The form of `decisions.request_identity`. Any other name would cause an error
+# on every host that sends the table to another one.
 _RequestName = Annotated[str, StringConstraints(pattern='^[0-9a-f]{16}$')]
-# Unix seconds up to the year 2286; a later one holds a request for good.
-_Second = Annotated[int, Field(ge=0, lt=10**10, strict=True)]
+# Unix time in seconds, until the year 2286. A later time would hold a request
+# forever.
+_UnixSeconds = Annotated[int, Field(ge=0, lt=10**10, strict=True)]
 
 
 class _Suspect(_Model):
-    # Lives of upstreams with the time of their end.
-    ended: dict[str, _Second]
+    # Incarnations of upstreams with the time at which each ended.
+    ended: dict[str, _UnixSeconds]
     answered: tuple[str, ...] = ()
-    lifted_at: _Second = 0
+    lifted_at: _UnixSeconds = 0
 
 
 class _SuspectsSpec(_Model):
@@ -222,13 +225,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisteredHost:
-    """An entry host as its object in the store tells of it.
+    """An entry host that is registered in the store.
 
     Attributes:
-        peer: Who it is.
-        fleet_size: Hosts that it knew of in all zones when it registered.
-        complete_era: The latest era in which, to its knowledge, everything
-            that a restore had lost was written again; 0 if it knew of none.
+        peer: Name, zone and addresses of the host.
+        fleet_size: Number of hosts in all zones known to the host when it
+            registered.
+        complete_era: Latest era in which, as far as the host knew, all objects
+            lost in a restore had been written again; 0 for none.
     """
 
     peer: PeerName
@@ -240,8 +244,8 @@
     """Name and revision of an object.
 
     Attributes:
-        name: Its name within its kind.
-        revision: The store's revision when it last changed.
+        name: Name, unique within the kind.
+        revision: Revision of the store at the last change of the object.
     """
 
     name: str
@@ -249,14 +253,14 @@
 
 
 class StoredObject(_Model):
-    """An object as the store hands it out; `spec` is its own kind's.
+    """An object of any kind, as read from the store.
 
     Attributes:
-        metadata: Its name and revision.
-        spec: What its writer states.
-        status: What is observed of it.
-        era: Era of the store that handed it out; the client of the store sets
-            it from the answer's header.
+        metadata: Name and revision.
+        spec: State that the writer declares; its form depends on the kind.
+        status: Observed state.
+        era: Era of the store when it returned the object; the store client
+            sets it from the header of the answer.
     """
 
     metadata: Metadata
@@ -266,7 +270,7 @@
 
     @property
     def revision(self) -> Revision:
-        """When it last changed."""
+        """Era and revision of the last change."""
         return Revision(self.era, self.metadata.revision)
 
 
@@ -274,15 +278,15 @@
     """Decode a version of the configuration.
 
     Raises:
-        ConfigurationError: The object is not a whole, valid configuration.
+        ConfigurationError: The configuration is incomplete or invalid.
     """
     try:
         parsed = _Configuration.model_validate(stored.spec)
         version = int(parsed.version, _HEXADECIMAL)
     except (ValidationError, ValueError) as error:
         raise ConfigurationError(
-            f'the stored configuration cannot be used: {_describe(error)}',
-            'write a corrected version; the one before stays in force',
+            f'the stored configuration is not valid: {_describe(error)}',
+            'write a corrected version; the previous one stays in force',
             revision=stored.metadata.revision,
         ) from error
     routes = tuple(
@@ -353,7 +357,7 @@
 
 
 def decode_host(stored: StoredObject) -> RegisteredHost | None:
-    """Decode an entry host's object; None if it is not usable."""
+    """Decode the object of an entry host; None if it is invalid."""
     try:
         spec = _HostSpec.model_validate(stored.spec)
     except ValidationError:
@@ -383,7 +387,7 @@
 
 
 def decode_suspects(stored: StoredObject) -> dict[str, Evidence] | None:
-    """Decode what is known of requests that end upstreams; None if unusable."""
+    """Decode the evidence on requests that end upstreams; None if invalid."""
     try:
         spec = _SuspectsSpec.model_validate(stored.spec)
     except ValidationError:
@@ -398,11 +402,11 @@
     records: Mapping[str, Evidence],
     revision: int,
 ) -> dict[str, object]:
-    """Return the object that holds them.
+    """Return the object with the evidence on requests that end upstreams.
 
     Args:
-        records: Evidence by request.
-        revision: Of the object that it is to replace; 0 for none.
+        records: Evidence by name of the request.
+        revision: Revision of the object to replace; 0 to create it.
     """
     metadata: dict[str, object] = {'name': SUSPECTS_NAME}
     if revision:
@@ -418,27 +422,29 @@
     return {'metadata': metadata, 'spec': {'requests': requests}}
 
 
-def _gaps(
-    place: str,
+def _missing_fields(
+    path: str,
     model: BaseModel,
     names: tuple[str, ...],
 ) -> tuple[str, ...]:
-    """Return the fields of an object that were not given, with their place."""
+    """Return the dotted paths of the missing fields of an object."""
     return tuple(
-        f'{place}.{name}'
-        for name in names
-        if name not in model.model_fields_set
+        f'{path}.{name}' for name in names if name not in model.model_fields_set
     )
 
 
 def _configuration_gaps(parsed: _Configuration) -> tuple[str, ...]:
-    gaps = list(_gaps('limits', parsed.limits, tuple(_Limits.model_fields)))
+    gaps = list(
+        _missing_fields('limits', parsed.limits, tuple(_Limits.model_fields))
+    )
     for name, route in parsed.routes.items():
-        place = f'routes.{name}'
-        gaps.extend(_gaps(place, route, ('priority', 'max_attempts')))
+        path = f'routes.{name}'
+        gaps.extend(_missing_fields(path, route, ('priority', 'max_attempts')))
     for name, service in parsed.services.items():
-        place = f'services.{name}'
-        gaps.extend(_gaps(place, service, tuple(_Service.model_fields)))
+        path = f'services.{name}'
+        gaps.extend(
+            _missing_fields(path, service, tuple(_Service.model_fields))
+        )
     return tuple(gaps)
 
 
--- a/src/wardstair/platform/settings.py
+++ b/src/wardstair/platform/settings.py
@@ -1,7 +1,7 @@
-"""The settings file that the platform fills from `deploy/gateway.toml`.
+"""Loads the settings file rendered by the platform from `deploy/gateway.toml`.
 
-The file is ours in form and names; only the texts under `bounds` come as the
-platform writes them, `name=value`.
+The project defines the file's format and keys; only the entries of `bounds`
+have the platform's form, `name=value`.
 """
 
 import tomllib
@@ -41,12 +41,12 @@
 
 
 class _Limits(_Model):
-    # The stand-ins are what a process may count on where nobody says: a small
-    # virtual machine, the usual soft limit of descriptors, one plain core.
+    # The defaults suit a small virtual machine: little memory, the usual soft
+    # limit of file descriptors and one ordinary core.
     memory_megabytes: int = Field(default=128, gt=0)
     descriptors: int = Field(default=1024, gt=0)
-    # Part of one core that a process may use, and how many times as fast that
-    # core is as an ordinary one; not a number of cores.
+    # Share of one core that the process may use, and the speed of that core
+    # relative to an ordinary one; neither is a number of cores.
     core_share: float = Field(default=1.0, gt=0)
     core_speed: float = Field(default=1.0, gt=0)
 
@@ -69,10 +69,10 @@
 
 
 def load_settings(path: Path) -> GatewaySettings:
-    """Read and check a settings file.
+    """Load and validate a settings file.
 
     Args:
-        path: The file.
+        path: Path of the file.
 
     Raises:
         ConfigurationError: The file cannot be read or is not valid.
@@ -89,13 +89,13 @@
     except ValidationError as error:
         faults = ' | '.join(map(str, faults_of(error, str(path))))
         raise ConfigurationError(
-            f'the settings file cannot be used: {faults}',
+            f'the settings file is not valid: {faults}',
             'compare it with deploy/gateway.toml',
         ) from error
     if parsed.zone not in parsed.zones:
         raise ConfigurationError(
-            f'the zone {parsed.zone} of this host is in no region',
-            'list it under [zones] with its region',
+            f'the zone {parsed.zone} of this host has no region',
+            'add the zone with its region to [zones]',
         )
     decoded = decode_bounds(parsed.bounds)
     return GatewaySettings(
@@ -129,10 +129,10 @@
 
 
 def settings_faults(path: Path) -> list[Fault]:
-    """Return what is wrong with a settings file, and what it leaves out.
+    """Return the errors and missing settings of a settings file.
 
     Args:
-        path: The file.
+        path: Path of the file.
     """
     try:
         settings = load_settings(path)
@@ -142,8 +142,8 @@
         Fault(
             str(path),
             gap.name,
-            f'it is not given, and {gap.used:g} stands in for it',
-            'state it among the fields of the deployment',
+            f'the setting is missing; the default {gap.used:g} is used',
+            'set it in the fields of the deployment',
         )
         for gap in settings.gaps
     ]
@@ -173,8 +173,8 @@
     policy = POLICIES.get(name)
     if policy is None:
         raise ConfigurationError(
-            f'there is no placement policy {name}',
-            f'name one of {", ".join(POLICIES)}',
+            f'unknown placement policy {name}',
+            f'use one of {", ".join(POLICIES)}',
         )
     return policy
 
--- a/src/wardstair/platform/store.py
+++ b/src/wardstair/platform/store.py
@@ -1,7 +1,7 @@
-"""The client of the platform's store.
+"""Client of the platform's store.
 
-Answers are typed results: a caller of the client decides what a store that is
-away or has forgotten means to it.
+Methods return typed results, so that their callers decide how to handle an
+unavailable store or an expired watch.
 """
 
 import json
@@ -34,25 +34,26 @@
 )
 from wardstair.state.revision import Revision
 
-# A plain answer takes some 10 ms; a store under strain was seen to take 60
-# times as long as usual, which this leaves room for.
+# An answer usually takes about 10 ms, and up to 60 times as long while the
+# store is overloaded.
 CALL_SECONDS = 2.0
-# Above the time a watch may wait, for its answer to travel.
+# Added to the wait of a watch to allow for the transit of its answer.
 WATCH_MARGIN_SECONDS = 1.5
 CONNECT_SECONDS = 1.0
 _MILLISECONDS = 1000
-# Asked for changes that are there already, the store need not wait.
-_ASK_MILLISECONDS = 20
-# Rises by one each time that the store is restored from a copy.
+# Short, because a poll asks only for changes that already exist.
+_POLL_WAIT_MILLISECONDS = 20
+# Number that each restore of the store from a copy increases by one.
 _ERA_HEADER = 'Store-Era'
-# Listings, proofs of contact and the registration, without watches.
-_MANY_TRANSFERS = 8
-# The store hands out at most about a megabyte in one answer.
-_ANSWER_BYTES = 4194304
+# Concurrent listings, contact checks and registration calls; watches use
+# clients of their own.
+_MAX_TRANSFERS = 8
+# The store returns at most about a megabyte in an answer.
+_MAX_ANSWER_BYTES = 4194304
 
 
 class CallKind(StrEnum):
-    """What a call on the store is for; each is priced."""
+    """Purpose of a call to the store; each kind has its own price."""
 
     listing = 'list'
     stale_listing = 'stale-list'
@@ -66,11 +67,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallLabels:
-    """What calls on the store are counted by.
+    """Labels by which calls to the store are counted.
 
     Attributes:
-        call: What the call is for.
-        kind: The kind of objects that it concerns.
+        call: Purpose of the call.
+        kind: Kind of the objects.
     """
 
     call: CallKind
@@ -78,17 +79,17 @@
 
 
 class Store:
-    """Calls on the store.
+    """Client of the store.
 
     Attributes:
-        calls: Calls made, by what they are for.
-        era: The highest era that an answer has told; 0 for none.
-        on_era: Told each era that is higher than those before.
-        answer_timeout: How late answers may be.
+        calls: Number of calls made, by their labels.
+        era: Highest era seen in an answer; 0 for none.
+        on_era: Called with each era that is higher than all previous ones.
+        answer_timeout: Timeout for answers, derived from recent answer times.
     """
 
     def __init__(self, address: str) -> None:
-        """Prepare without a connection.
+        """Create the client without connecting.
 
         Args:
             address: `ip:port` of the store.
@@ -98,20 +99,20 @@
         self.on_era: Callable[[int], None] = _ignore_era
         self.answer_timeout = AdaptiveTimeout()
         self._address = address
-        self._client = make_client(_MANY_TRANSFERS, _ANSWER_BYTES)
-        # A watch has a client of its own: tornado cannot end a transfer that
-        # waits, but closing its client does.
-        self._watches: dict[str, CurlAsyncHTTPClient] = {}
+        self._client = make_client(_MAX_TRANSFERS, _MAX_ANSWER_BYTES)
+        # Each watch has a client of its own: tornado cannot cancel a pending
+        # transfer, but closing the client ends it.
+        self._watch_clients: dict[str, CurlAsyncHTTPClient] = {}
 
     def close(self) -> None:
-        """Drop all connections."""
+        """Close all connections."""
         close_client(self._client)
-        for kind in tuple(self._watches):
+        for kind in tuple(self._watch_clients):
             self.drop_watch(kind)
 
     def drop_watch(self, kind: str) -> None:
-        """End a waiting watch of a kind, if there is one."""
-        client = self._watches.pop(kind, None)
+        """End the pending watch of a kind, if any."""
+        client = self._watch_clients.pop(kind, None)
         if client is not None:
             close_client(client)
 
@@ -126,17 +127,17 @@
 
         Args:
             kind: The kind.
-            is_stale: Whether it may be some seconds old, at a tenth of the
-                price.
+            is_stale: Whether the listing may be some seconds old, at a tenth
+                of the price.
             new_connection: Whether to open a new connection; the network may
                 have stopped carrying data on an existing one.
         """
         listed: list[StoredObject] = []
-        # What changes on a page that is read already comes with the watch that
-        # goes on from the first one.
+        # The watch continues from the revision of the first page, so that it
+        # reports what changed on a page after that page was read.
         first_revision: Revision | None = None
-        plain: dict[str, object] = {'stale_ok': 1} if is_stale else {}
-        query = plain
+        base_query: dict[str, object] = {'stale_ok': 1} if is_stale else {}
+        query = base_query
         call = CallKind.stale_listing if is_stale else CallKind.listing
         while True:
             self._count(call, kind)
@@ -149,8 +150,10 @@
                 return answered
             answer = answered.ok_value
             if listed and listed[0].era != answer.era:
-                # Pages of two eras are no listing of either.
-                return Err(PlatformUnavailable(f'restored amid {kind}'))
+                # Pages of two eras do not form a consistent listing.
+                return Err(
+                    PlatformUnavailable(f'store restored while listing {kind}')
+                )
             page = read_page(kind, answer)
             if isinstance(page, Err):
                 return page
@@ -158,7 +161,7 @@
             first_revision = first_revision or page.ok_value.revision
             if page.ok_value.is_last:
                 return Ok(Listing(tuple(listed), first_revision))
-            query = {**plain, 'after': listed[-1].metadata.name}
+            query = {**base_query, 'after': listed[-1].metadata.name}
 
     async def watch_kind(
         self,
@@ -166,22 +169,22 @@
         revision: Revision,
         seconds: float,
     ) -> Result[Changes, PlatformError]:
-        """Wait for changes of a kind after a revision; one watch a kind.
+        """Wait for changes of a kind after a revision, one watch per kind.
 
         Args:
             kind: The kind.
-            revision: Revision up to which everything is known.
-            seconds: Longest wait; without changes the answer is empty.
+            revision: Revision up to which all changes are known.
+            seconds: Longest wait; the result is empty if nothing changes.
         """
         query = {
             'watch': revision.number,
             'wait_ms': round(seconds * _MILLISECONDS),
         }
         self._count(CallKind.watch, kind)
-        client = self._watches.get(kind)
+        client = self._watch_clients.get(kind)
         if client is None:
-            client = make_client(1, _ANSWER_BYTES)
-            self._watches[kind] = client
+            client = make_client(1, _MAX_ANSWER_BYTES)
+            self._watch_clients[kind] = client
         began_at = time.monotonic()
         answered = await self._call(
             'GET',
@@ -200,15 +203,16 @@
         kind: str,
         revision: Revision,
     ) -> Result[Changes, PlatformError]:
-        """Ask for changes of a kind after a revision without waiting for any.
+        """Read the changes of a kind after a revision without waiting.
 
-        It goes by a connection of its own: a kept one may carry nothing more.
+        It opens a new connection, because the network may have stopped carrying
+        data on an existing one.
 
         Args:
             kind: The kind.
-            revision: Revision up to which everything is known.
+            revision: Revision up to which all changes are known.
         """
-        query = {'watch': revision.number, 'wait_ms': _ASK_MILLISECONDS}
+        query = {'watch': revision.number, 'wait_ms': _POLL_WAIT_MILLISECONDS}
         self._count(CallKind.check, kind)
         began_at = time.monotonic()
         answered = await self._call(
@@ -225,11 +229,11 @@
         kind: str,
         name: str,
     ) -> Result[StoredObject, PlatformError]:
-        """Read an object as it was some seconds ago, at a tenth of the price.
+        """Read an object that may be some seconds old, at a tenth of the price.
 
         Args:
-            kind: Its kind.
-            name: Its name.
+            kind: The kind of the object.
+            name: The name of the object.
         """
         self._count(CallKind.stale_read, kind)
         path = _path(kind, name, {'stale_ok': 1})
@@ -244,10 +248,10 @@
         kind: str,
         document: Mapping[str, object],
     ) -> Result[StoredObject | None, PlatformError]:
-        """Create an object; a conflict means that it is there already.
+        """Create an object; a conflict means that it already exists.
 
         Returns:
-            The object as written; None if the store did not hand it out.
+            The written object; None if the answer does not contain it.
         """
         self._count(CallKind.creation, kind)
         answered = await self._call('POST', _path(kind), document)
@@ -259,10 +263,10 @@
         name: str,
         document: Mapping[str, object],
     ) -> Result[StoredObject | None, PlatformError]:
-        """Replace an object's own part.
+        """Replace an object, apart from what the store itself sets.
 
         Returns:
-            The object as written; None if the store did not hand it out.
+            The written object; None if the answer does not contain it.
         """
         self._count(CallKind.replacement, kind)
         answered = await self._call('PUT', _path(kind, name), document)
@@ -293,7 +297,7 @@
         client: CurlAsyncHTTPClient | None = None,
         new_connection: bool = False,
     ) -> Result[Answer, PlatformError]:
-        used = client or self._client
+        chosen_client = client or self._client
         body = None if document is None else json.dumps(document)
         request = HTTPRequest(
             f'http://{self._address}{path}',
@@ -304,25 +308,23 @@
             request_timeout=seconds,
             follow_redirects=False,
             decompress_response=False,
-            prepare_curl_callback=_prepare_apart
-            if new_connection
-            else _prepare,
+            prepare_curl_callback=_prepare_new if new_connection else _prepare,
         )
         try:
-            response = await used.fetch(request, raise_error=False)
+            response = await chosen_client.fetch(request, raise_error=False)
         except (HTTPClientError, OSError, pycurl.error) as error:
             return Err(PlatformUnavailable(f'{method} {path}: {error}'))
-        judged = read_body(response, f'{method} {path}')
+        body_result = read_body(response, f'{method} {path}')
         era = self._note_era(response)
-        return judged.map(lambda body: Answer(body, era))
+        return body_result.map(lambda body: Answer(body, era))
 
     def _note_era(self, response: HTTPResponse) -> int:
-        """Return the era of an answer; tell if it is a new one."""
-        told = response.headers.get(_ERA_HEADER, '')
-        if not (told.isascii() and told.isdecimal()):
-            # Answers of what stands before the store do not tell.
+        """Return the era of an answer; call `on_era` if it is a new one."""
+        header = response.headers.get(_ERA_HEADER, '')
+        if not (header.isascii() and header.isdecimal()):
+            # Proxies in front of the store do not send the era.
             return self.era
-        era = int(told)
+        era = int(header)
         if era > self.era:
             self.era = era
             self.on_era(era)
@@ -330,23 +332,23 @@
 
 
 def _ignore_era(_era: int) -> None:
-    """Do nothing with a new era."""
+    """Ignore a new era."""
 
 
 def _prepare(curl: pycurl.Curl) -> None:
     curl.setopt(pycurl.PROXY, '')
     curl.setopt(pycurl.TCP_NODELAY, 1)
-    curl.setopt(pycurl.SOCKOPTFUNCTION, _on_socket)
+    curl.setopt(pycurl.SOCKOPTFUNCTION, _set_up_socket)
 
 
-def _prepare_apart(curl: pycurl.Curl) -> None:
+def _prepare_new(curl: pycurl.Curl) -> None:
     _prepare(curl)
     curl.setopt(pycurl.FRESH_CONNECT, 1)
     curl.setopt(pycurl.FORBID_REUSE, 1)
 
 
-def _on_socket(descriptor: int, _purpose: int) -> int:
-    """Set up a socket of libcurl's; a waiting watch has no other sign."""
+def _set_up_socket(descriptor: int, _purpose: int) -> int:
+    """Detect a dead connection; a pending watch has no other sign of it."""
     notice_silence_of(descriptor)
     return int(pycurl.SOCKOPT_OK)
 
--- a/src/wardstair/platform/store_answers.py
+++ b/src/wardstair/platform/store_answers.py
@@ -1,6 +1,6 @@
-"""What the platform's store answers, and how it is read.
+"""Parses answers of the platform's store.
 
-An object that cannot be read costs none of the others in the same answer.
+An invalid object is skipped; the other objects of the same answer are used.
 """
 
 from dataclasses import dataclass
@@ -26,10 +26,10 @@
 
 
 class _Page(_Model):
-    # Each is checked on its own: one bad object does not cost the others.
+    # Validated one by one, so that an invalid object is skipped alone.
     items: tuple[object, ...]
     truncated: bool = False
-    # The store's revision at which the page was read.
+    # Revision of the store at which the page was read.
     as_of: int
 
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A good answer, and the era of the store that gave it."""
+    """Body of a successful answer, and the store's era at that time."""
 
     body: bytes
     era: int
@@ -57,7 +57,7 @@
 
     Attributes:
         objects: The objects.
-        revision: Where a watch goes on from.
+        revision: Revision from which a watch continues.
     """
 
     objects: tuple[StoredObject, ...]
@@ -77,8 +77,8 @@
     """Changes of a kind since a revision.
 
     Attributes:
-        changes: In order.
-        revision: Where the next watch goes on from.
+        changes: The changes in order.
+        revision: Revision from which the next watch continues.
     """
 
     changes: tuple[Change, ...]
@@ -87,12 +87,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A part of a listing.
+    """A page of a listing.
 
     Attributes:
-        objects: The objects that can be read.
-        is_last: Whether nothing follows.
-        revision: The store's revision at which it was read.
+        objects: The valid objects of the page.
+        is_last: Whether this is the last page.
+        revision: Revision of the store at which the page was read.
     """
 
     objects: tuple[StoredObject, ...]
@@ -103,14 +103,14 @@
 def read_body(
     response: HTTPResponse, call: str
 ) -> Result[bytes, PlatformError]:
-    """Return the body of a good answer.
+    """Return the body of a successful answer.
 
     Args:
-        response: The answer.
-        call: The call, for messages.
+        response: The HTTP response.
+        call: Method and path of the call, for error messages.
 
     Returns:
-        The body, or what the status says.
+        The body, or the error that the status code stands for.
     """
     match response.code:
         case 200 | 201:
@@ -134,15 +134,15 @@
         answer: The answer.
     """
     try:
-        page = _Page.model_validate_json(_readable(answer.body))
+        page = _Page.model_validate_json(_replace_invalid_utf8(answer.body))
     except ValidationError as error:
-        return Err(PlatformUnavailable(f'unreadable list: {error}'))
+        return Err(PlatformUnavailable(f'invalid list: {error}'))
     objects = tuple(_read_objects(kind, page.items, answer.era))
     is_last = not page.truncated or not page.items
     if not is_last and not objects:
-        # Where the next page begins is not known; without it the listing would
-        # take out whatever comes after.
-        return Err(PlatformUnavailable(f'unreadable page of {kind}'))
+        # The start of the next page is unknown. With a listing that ends here,
+        # all later objects would seem to be deleted.
+        return Err(PlatformUnavailable(f'no valid object in a page of {kind}'))
     return Ok(Page(objects, is_last, Revision(answer.era, page.as_of)))
 
 
@@ -154,9 +154,9 @@
         answer: The answer.
     """
     try:
-        parsed = _Events.model_validate_json(_readable(answer.body))
+        parsed = _Events.model_validate_json(_replace_invalid_utf8(answer.body))
     except ValidationError as error:
-        return Err(PlatformUnavailable(f'unreadable events: {error}'))
+        return Err(PlatformUnavailable(f'invalid events: {error}'))
     changes = [
         Change(stored, event.deleted)
         for event in parsed.events
@@ -166,7 +166,7 @@
 
 
 def read_object(answer: Answer) -> Result[StoredObject, PlatformError]:
-    """Read one object.
+    """Read a single object.
 
     Args:
         answer: The answer.
@@ -174,11 +174,11 @@
     try:
         return Ok(_decode(answer))
     except ValidationError as error:
-        return Err(PlatformUnavailable(f'unreadable object: {error}'))
+        return Err(PlatformUnavailable(f'invalid object: {error}'))
 
 
 def read_written(answer: Answer) -> StoredObject | None:
-    """Read an object as written; None if the store answered with less.
+    """Read a written object; None if the answer does not contain it.
 
     Args:
         answer: The answer.
@@ -191,8 +191,8 @@
     return stored.model_copy(update={'era': answer.era})
 
 
-def _readable(answer: bytes) -> bytes:
-    """Return an answer of which all bytes are text, whoever wrote some."""
+def _replace_invalid_utf8(answer: bytes) -> bytes:
+    """Replace invalid UTF-8, which any writer of an object can cause."""
     return answer.decode(errors='replace').encode()
 
 
@@ -207,6 +207,6 @@
             stored = StoredObject.model_validate(one)
             read.append(stored.model_copy(update={'era': era}))
         except ValidationError as error:
-            # Without a name nothing can be said of it.
+            # The object may have no name, so only its kind is logged.
             log_warning('object-unreadable', kind=kind, reason=str(error))
     return read
--- a/src/wardstair/platform/upstream_entries.py
+++ b/src/wardstair/platform/upstream_entries.py
@@ -1,7 +1,7 @@
-"""Entries of upstreams in the platform's store, checked at the border.
+"""Validates and decodes entries of upstreams in the platform's store.
 
-Anybody may write there. An entry that is not whole names no upstream, since a
-guess at what it leaves out would send requests where nobody waits for them.
+Any client can write such entries. An incomplete entry is rejected: with guessed
+values for its missing fields, requests could go to an address without upstream.
 """
 
 from collections.abc import Mapping
@@ -24,10 +24,11 @@
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
 
 _MILLISECONDS = 1000
-# More requests at once than one upstream works on: one that claims more would
-# seem to have room at any load, and get all that the others cannot take.
+# More concurrent requests than any upstream can process. An upstream that
+# claims more would seem to have capacity under any load and receive all
+# requests that the others reject.
 MAX_SLOTS = 10_000
-# Nothing is cold for longer than a day.
+# No upstream stays cold for longer than a day.
 MAX_COLD_MILLISECONDS = 86_400_000
 _PORTS = range(1, 65536)
 _Name = Annotated[StrictStr, StringConstraints(min_length=1)]
@@ -37,7 +38,7 @@
     host, _, port = address.rpartition(':')
     IPv4Address(host)
     if not (port.isascii() and port.isdecimal() and int(port) in _PORTS):
-        raise ValueError('an IP address and a port')
+        raise ValueError('expected an IPv4 address and a port as ip:port')
     return address
 
 
@@ -53,7 +54,7 @@
 
 class _Status(_Model):
     state: Literal['ready', 'draining']
-    # Time left, counted from when the upstream wrote the entry.
+    # Remaining time, counted from the time when the upstream wrote the entry.
     cold_left_ms: float = Field(
         ge=0,
         le=MAX_COLD_MILLISECONDS,
@@ -66,17 +67,17 @@
     address: Annotated[StrictStr, AfterValidator(_check_address)]
     info: _Info
     status: _Status
-    # Unix milliseconds of its start; older upstreams do not say.
+    # Start time in Unix milliseconds; older upstreams do not write it.
     born: int = Field(default=0, ge=0, strict=True)
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableEntry:
-    """An entry that names no upstream.
+    """An invalid entry.
 
     Attributes:
-        field: Where it is wrong, as a dotted path.
-        expected: What should stand there.
+        field: Dotted path of the invalid field.
+        expected: Description of a valid value.
     """
 
     field: str
@@ -88,11 +89,11 @@
 ) -> UpstreamEntry | UnusableEntry:
     """Decode an upstream's entry.
 
-    The entry may lie in `spec` alone or be divided between `spec` and
-    `status`; what `status` says wins.
+    The entry may be in `spec` alone or divided between `spec` and `status`; the
+    values in `status` take precedence.
     """
     try:
-        spec = _UpstreamSpec.model_validate(_merged(stored))
+        spec = _UpstreamSpec.model_validate(_merge_status(stored))
     except ValidationError as error:
         first = error.errors(include_url=False, include_input=False)[0]
         path = '.'.join(str(part) for part in first['loc'])
@@ -112,13 +113,13 @@
     )
 
 
-def _merged(stored: StoredObject) -> dict[str, object]:
+def _merge_status(stored: StoredObject) -> dict[str, object]:
     merged: dict[str, object] = {}
     if isinstance(stored.spec, Mapping):
         merged.update(stored.spec)
     if isinstance(stored.status, Mapping):
         merged['status'] = stored.status.get('status', stored.status)
-        # The word of a later life stands beside that life's status.
+        # A later incarnation writes its start time next to its status.
         born = stored.status.get('born')
         if born is not None:
             merged['born'] = born
--- a/tests/soak/breaks.py
+++ b/tests/soak/breaks.py
@@ -177,7 +177,7 @@
 def pass_keys_on() -> None:
     """Let hosts send API keys to upstreams."""
     api_key = headers.API_KEY.lower()
-    headers._SET_ANEW = headers._SET_ANEW - {api_key}
+    headers._REPLACED = headers._REPLACED - {api_key}
 
 
 def keep_dropped_keys() -> None:
--- a/tests/unit/test_bounds.py
+++ b/tests/unit/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on their way from the platform's fields to the decoded settings."""
+"""Bounds are decoded from the platform's fields."""
 
 import math
 from collections.abc import Mapping, Sequence
@@ -30,15 +30,15 @@
 
 
 @pytest.mark.parametrize('given', [BOUNDS, TEXTS], ids=['table', 'list'])
-def test_every_bound_comes_from_the_deployment(
+def test_every_bound_is_taken_from_the_deployment(
     tmp_path: Path,
     given: Mapping[str, object] | Sequence[object],
 ) -> None:
     settings = settings_of(tmp_path, given)
-    plain = Bounds()
+    defaults = Bounds()
     for one in fields(Bounds):
         decoded = getattr(settings.bounds, one.name)
-        assert decoded != getattr(plain, one.name), one.name
+        assert decoded != getattr(defaults, one.name), one.name
     assert settings.bounds.drain_seconds == 2
     assert settings.bounds.retry_extra == 62
     assert not settings.gaps
@@ -51,13 +51,13 @@
         ({**BOUNDS, 'grace_s': 'nan'}, 'grace_s'),
         ({**BOUNDS, 'budget_extra': -1}, 'budget_extra'),
         ({**BOUNDS, 'contact_ms': 0}, 'contact_ms'),
-        # Values that have lost their names say nothing.
+        # A template can render values without their names.
         (['3', '2', '4000'], '3'),
         ({'0': 3}, '3'),
         (['=3'], '3'),
     ],
 )
-def test_a_bound_that_cannot_be_read_ends_the_start_with_its_name(
+def test_an_invalid_bound_is_rejected_with_its_name(
     tmp_path: Path,
     bounds: Mapping[str, object] | Sequence[object],
     named: str,
@@ -70,23 +70,23 @@
 
 
 @pytest.mark.parametrize('missing', list(BOUNDS))
-def test_a_bound_that_is_not_given_is_named_with_what_stands_for_it(
+def test_a_missing_bound_is_reported_with_its_default(
     tmp_path: Path,
     missing: str,
 ) -> None:
     rest = {key: one for key, one in BOUNDS.items() if key != missing}
     settings = settings_of(tmp_path, rest)
     assert [gap.name for gap in settings.gaps] == [f'bounds.{missing}']
-    plain, used = Bounds(), settings.gaps[0].used
+    defaults, used = Bounds(), settings.gaps[0].used
     replaced = [
-        getattr(plain, one.name)
+        getattr(defaults, one.name)
         for one in fields(Bounds)
-        if getattr(settings.bounds, one.name) == getattr(plain, one.name)
+        if getattr(settings.bounds, one.name) == getattr(defaults, one.name)
     ]
     assert replaced in ([used], [used / 1000])
 
 
-def test_a_deployment_without_bounds_is_served(tmp_path: Path) -> None:
+def test_without_bounds_all_defaults_apply(tmp_path: Path) -> None:
     settings = settings_of(tmp_path, {})
     assert settings.bounds == Bounds()
     assert len(settings.gaps) == len(fields(Bounds))
@@ -97,7 +97,7 @@
     assert settings == settings_of(tmp_path, BOUNDS)
 
 
-def test_the_check_tells_of_what_a_file_does_not_give(
+def test_the_check_reports_missing_and_invalid_settings(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -109,8 +109,8 @@
     file.write_text(text)
     with pytest.raises(SystemExit):
         check(str(file))
-    told = capsys.readouterr().out.splitlines()
-    assert [line.split(': ')[1] for line in told] == [
+    printed = capsys.readouterr().out.splitlines()
+    assert [line.split(': ')[1] for line in printed] == [
         'limits.descriptors',
         'bounds.grace_s',
     ]
@@ -120,7 +120,7 @@
     assert 'the bound 0=3 has no name' in capsys.readouterr().out
 
 
-def test_the_page_lists_every_bound_with_its_stand_in() -> None:
+def test_the_documentation_lists_every_bound_with_its_default() -> None:
     page = (ROOT / 'docs' / 'reference' / 'settings.md').read_text()
     rows = [line.split('|') for line in page.splitlines() if '|' in line]
     listed = {row[1].strip(): row for row in rows}
--- a/tests/unit/test_objects.py
+++ b/tests/unit/test_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the store that leave out fields."""
+"""Objects of the store with missing fields."""
 
 import pytest
 from lib.specs import configuration_spec, route_spec
@@ -40,12 +40,12 @@
         'limits.idle_timeout_ms',
     ],
 )
-def test_a_configuration_names_the_fields_that_it_leaves_out(
+def test_missing_fields_of_a_configuration_are_reported(
     missing: str,
 ) -> None:
-    whole = configuration_spec(1)
-    assert not decode_configuration(stored(whole)).gaps
-    assert decode_configuration(stored(without(whole, missing))).gaps == (
+    complete = configuration_spec(1)
+    assert not decode_configuration(stored(complete)).gaps
+    assert decode_configuration(stored(without(complete, missing))).gaps == (
         missing,
     )
 
@@ -58,7 +58,7 @@
         {'service': None, 'backends': [{'service': 'views', 'weight': 0}]},
     ],
 )
-def test_a_route_that_leads_nowhere_is_no_configuration(
+def test_a_route_without_a_weighted_service_is_rejected(
     fields: dict[str, object],
 ) -> None:
     route = route_spec('/read/', 'safe', **fields)
--- a/tests/unit/test_upstream_entries.py
+++ b/tests/unit/test_upstream_entries.py
@@ -1,4 +1,4 @@
-"""Entries by other writers: what is not whole names no upstream."""
+"""Entries of upstreams by any writer: incomplete ones are rejected."""
 
 from typing import Any
 
@@ -9,7 +9,10 @@
 
 from wardstair.platform.objects import Metadata, StoredObject
 from wardstair.platform.upstream_entries import (
-    MAX_SLOTS,
+    # The seed of a property test depends on its source, which uses this name.
+    MAX_SLOTS as MOST_SLOTS,
+)
+from wardstair.platform.upstream_entries import (
     UnusableEntry,
     decode_upstream_entry,
 )
@@ -29,11 +32,11 @@
 
 
 def spec_with(path: str, value: object) -> dict[str, Any]:
-    """Return a whole entry's spec with one field changed or taken out."""
+    """Return the spec of a complete entry with one field changed or removed."""
     spec: dict[str, Any] = upstream_spec(8080)
-    *way, last = path.split('.')
+    *parents, last = path.split('.')
     inner = spec
-    for name in way:
+    for name in parents:
         inner[name] = dict(inner[name])
         inner = inner[name]
     if value is MISSING:
@@ -51,14 +54,14 @@
 
 @pytest.mark.parametrize('path', PLACES)
 @pytest.mark.parametrize('value', [MISSING, None, [], {}, True, ''])
-def test_a_field_that_is_missing_or_of_another_type(
+def test_a_missing_or_wrongly_typed_field_is_reported(
     path: str,
     value: object,
 ) -> None:
-    fault = decoded(spec_with(path, value))
-    assert isinstance(fault, UnusableEntry)
-    assert fault.field.startswith(path)
-    assert fault.expected
+    unusable = decoded(spec_with(path, value))
+    assert isinstance(unusable, UnusableEntry)
+    assert unusable.field.startswith(path)
+    assert unusable.expected
 
 
 @pytest.mark.parametrize(
@@ -75,7 +78,7 @@
         ('info.slots', -4),
         ('info.slots', '4'),
         ('info.slots', 4.5),
-        ('info.slots', MAX_SLOTS + 1),
+        ('info.slots', MOST_SLOTS + 1),
         ('info.slots', 1_000_000_000),
         ('status.state', 'resting'),
         ('status.state', 'READY'),
@@ -86,24 +89,24 @@
         ('status.cold_left_ms', 1e12),
     ],
 )
-def test_a_value_that_cannot_be_meant(path: str, value: object) -> None:
-    fault = decoded(spec_with(path, value))
-    assert isinstance(fault, UnusableEntry)
-    assert fault.field == path
+def test_an_invalid_value_is_reported(path: str, value: object) -> None:
+    unusable = decoded(spec_with(path, value))
+    assert isinstance(unusable, UnusableEntry)
+    assert unusable.field == path
 
 
 @pytest.mark.parametrize('spec', [None, [], 'x', 7, {}])
-def test_no_entry_at_all(spec: object) -> None:
+def test_a_spec_that_is_no_entry_is_unusable(spec: object) -> None:
     assert isinstance(decoded(spec), UnusableEntry)
 
 
-def test_a_whole_entry_in_either_form() -> None:
+def test_a_complete_entry_is_decoded_in_either_form() -> None:
     spec = upstream_spec(8080)
-    whole = decoded(spec)
-    assert isinstance(whole, UpstreamEntry)
+    complete = decoded(spec)
+    assert isinstance(complete, UpstreamEntry)
     status = spec.pop('status')
-    assert decoded(spec, status) == whole
-    assert decoded(spec, {'status': status}) == whole
+    assert decoded(spec, status) == complete
+    assert decoded(spec, {'status': status}) == complete
 
 
 JSON = st.recursive(
@@ -126,6 +129,6 @@
         assert entry.field.startswith(path)
         return
     assert isinstance(entry, UpstreamEntry)
-    assert 1 <= entry.slots <= MAX_SLOTS
+    assert 1 <= entry.slots <= MOST_SLOTS
     assert 0 < entry.port < 65536
     assert 0 <= entry.cold_seconds < 1e6
