--- a/src/wardstair/platform/upstream_entries.py
+++ b/src/wardstair/platform/upstream_entries.py
@@ -1,7 +1,8 @@
 """Validates and decodes entries of upstreams in the platform's store.
 
 Any client can write such entries. An incomplete entry is rejected: with guessed
-values for its missing fields, requests could go to an address without upstream.
+values for its missing fields, requests could go to an address where no upstream
+listens.
 """
 
 from collections.abc import Mapping
