--- a/src/wardstair/connection/pool.py
+++ b/src/wardstair/connection/pool.py
@@ -30,7 +30,7 @@
 FORGOTTEN_SHARE = 0.5
 # A connection that breaks after a shorter rest was not forgotten: its upstream
 # has ended. Reuse within this time goes on.
-LEAST_FORGOTTEN_SECONDS = 0.1
+MIN_DROPPED_IDLE_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Forgetfulness:
+class IdleDrops:
     """What is known of upstreams that forget resting connections."""
 
     _seen: dict[str, tuple[float, float]] = field(default_factory=dict)
@@ -132,7 +132,7 @@
         """
         self.opened = 0
         self.dial: Dial = dial_tcp
-        self.forgetfulness = Forgetfulness()
+        self.idle_drops = IdleDrops()
         self._most = most
         self._lines: dict[str, _Line] = {}
 
@@ -245,7 +245,7 @@
         self.sweep(lambda name: False)
 
     def _rest_limit(self, now: float, *, is_once: bool) -> float:
-        return self.forgetfulness.limit(now) if is_once else REST_SECONDS
+        return self.idle_drops.limit(now) if is_once else REST_SECONDS
 
     def _drop(self, name: str, connection: UpstreamConnection) -> None:
         line = self._lines.get(name)
@@ -271,6 +271,6 @@
     if not (connection.is_open and connection.is_reusable):
         return False
     limit = most
-    if connection.keep_seconds is not None:
-        limit = min(limit, connection.keep_seconds * REST_SHARE)
-    return now - connection.rested_at < limit
+    if connection.keep_alive_seconds is not None:
+        limit = min(limit, connection.keep_alive_seconds * REST_SHARE)
+    return now - connection.idle_since < limit
--- a/src/wardstair/connection/upstream.py
+++ b/src/wardstair/connection/upstream.py
@@ -69,8 +69,8 @@
         Args:
             on_closed: Called once when the connection is closed.
         """
-        self.rested_at = time.monotonic()
-        self.keep_seconds: float | None = None
+        self.idle_since = time.monotonic()
+        self.keep_alive_seconds: float | None = None
         self.is_reusable = True
         # Whether it has carried a whole exchange before.
         self.has_served = False
@@ -148,7 +148,7 @@
     def _settle(self, reading: '_Reading') -> None:
         self._reading = None
         self.has_served = True
-        self.rested_at = time.monotonic()
+        self.idle_since = time.monotonic()
         if not reading.leaves_clean:
             self.close()
 
--- a/src/wardstair/fleet/demand_radio.py
+++ b/src/wardstair/fleet/demand_endpoint.py
@@ -16,11 +16,11 @@
 
 # Interval between checks whether a report is due. A sudden rise in demand must
 # be reported to all hosts within a fraction of a second.
-LOOK_SECONDS = 0.1
+CHECK_SECONDS = 0.1
 JITTER = 0.2
 
 
-class DemandRadio(DatagramSocket):
+class DemandEndpoint(DatagramSocket):
     """Sends this host's reports of demand and receives those of others."""
 
     def __init__(
@@ -62,7 +62,7 @@
         """Send reports until cancelled."""
         while True:
             spread = self._random.uniform(-JITTER, JITTER)
-            await asyncio.sleep(LOOK_SECONDS * (1 + spread))
+            await asyncio.sleep(CHECK_SECONDS * (1 + spread))
             if self._is_needed():
                 self.report()
 
--- a/src/wardstair/fleet/radio.py
+++ b/src/wardstair/fleet/heartbeat_endpoint.py
@@ -12,22 +12,22 @@
 
 from wardstair.decisions.membership import RELAYS_A_ZONE
 from wardstair.decisions.state_age import ToldAge
-from wardstair.fleet.beats import (
-    MOST_NAMED,
-    Beat,
-    BeatKind,
+from wardstair.fleet.datagrams import DatagramSocket
+from wardstair.fleet.heartbeats import (
+    MAX_NAMED,
+    HeartbeatDatagram,
+    HeartbeatKind,
     PeerName,
     Versions,
     ZoneLoad,
-    decode_beat,
-    encode_beat,
+    decode_heartbeat,
+    encode_heartbeat,
 )
-from wardstair.fleet.datagrams import DatagramSocket
 from wardstair.fleet.member import Member
 from wardstair.fleet.members import OWN_PAUSE_SECONDS, Members
 from wardstair.process.log import log_warning
 
-BEAT_SECONDS = 1.0
+HEARTBEAT_SECONDS = 1.0
 # Least time between two heartbeats to the zone that tell a newer state, and the
 # time for which the next one that is due is left out after one.
 LEAST_NEAR_SECONDS = 0.25
@@ -64,7 +64,7 @@
         """
 
 
-class Radio(DatagramSocket):
+class HeartbeatEndpoint(DatagramSocket):
     """Sends this host's heartbeats and hears those of others."""
 
     def __init__(
@@ -83,12 +83,12 @@
             random: Source of jitter and of the run's name.
         """
         super().__init__(port)
-        self.on_beat: Callable[[Beat], None] = _ignore
+        self.on_heartbeat: Callable[[HeartbeatDatagram], None] = _ignore
         # Takes in state that another host has sent; returns whether it could
         # be read.
         self.on_state: Callable[[bytes], bool] = _read_nothing
         # Period of the heartbeats of a sentinel.
-        self.sentinel_seconds: Callable[[], float] = lambda: BEAT_SECONDS
+        self.sentinel_seconds: Callable[[], float] = lambda: HEARTBEAT_SECONDS
         # Age of the state that heartbeats tell.
         self.state_age: Callable[[], ToldAge | None] = _no_age
         # What heartbeats tell of the load of zones.
@@ -116,27 +116,29 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Take in a heartbeat."""
-        beat = decode_beat(data)
+        beat = decode_heartbeat(data)
         if beat is None:
             if self.on_state(data):
                 return
             log_warning('beat-unreadable', source=addr[0], size=len(data))
             return
         members = self._members
-        members.learn(beat.named, is_second_hand=beat.kind is BeatKind.answer)
+        members.learn(
+            beat.named, is_second_hand=beat.kind is HeartbeatKind.answer
+        )
         if self._is_far_hello(beat):
             # Heard once and then no more, it would look lost in a moment.
             members.learn([beat.sender])
         elif members.hear(beat):
             self.is_greeted.set()
-            self.on_beat(beat)
+            self.on_heartbeat(beat)
         match beat.kind:
-            case BeatKind.hello:
+            case HeartbeatKind.hello:
                 self._answer(beat.sender)
-            case BeatKind.redirect:
+            case HeartbeatKind.redirect:
                 names = tuple(peer.name for peer in beat.named)
                 members.hinted[beat.sender.zone] = names
-            case BeatKind.beat if self._is_misdirected(beat):
+            case HeartbeatKind.heartbeat if self._is_misdirected(beat):
                 self._redirect(beat)
 
     async def run(self, seeds: tuple[str, ...]) -> None:
@@ -150,12 +152,12 @@
         while True:
             before = loop.time()
             spread = self._random.uniform(-JITTER, JITTER)
-            await asyncio.sleep(BEAT_SECONDS * (1 + spread))
+            await asyncio.sleep(HEARTBEAT_SECONDS * (1 + spread))
             gap = loop.time() - before
-            if gap > BEAT_SECONDS + OWN_PAUSE_SECONDS:
+            if gap > HEARTBEAT_SECONDS + OWN_PAUSE_SECONDS:
                 log_warning('host-paused', seconds=round(gap, 1))
-                self._members.forgive_pause(gap - BEAT_SECONDS)
-            self.beat(seeds)
+                self._members.forgive_pause(gap - HEARTBEAT_SECONDS)
+            self.send_due(seeds)
 
     def stop(self) -> None:
         """Close the socket, and send nothing more."""
@@ -163,7 +165,7 @@
             self._near_timer.cancel()
         super().stop()
 
-    async def run_closely(self) -> None:
+    async def run_sentinel(self) -> None:
         """Beat more often while this host is a sentinel, until cancelled.
 
         The sooner its silence shows that it is gone, the less news waits.
@@ -171,7 +173,7 @@
         while True:
             await self._prompt_or(self.sentinel_seconds())
             if self._members.is_sentinel():
-                self.send_beats()
+                self.send_heartbeats()
 
     async def _prompt_or(self, seconds: float) -> None:
         self._is_prompted.clear()
@@ -182,7 +184,7 @@
             # Nothing has changed meanwhile, which the heartbeat tells as well.
             return
 
-    def tell_age(self) -> None:
+    def announce_age(self) -> None:
         """Tell that the state is known to be newer, as others count on it.
 
         A sentinel tells all that hear it; another relay passes it on to its
@@ -201,21 +203,21 @@
         members = self._members
         return members.zone_size > RELAYS_A_ZONE and members.is_relay
 
-    def beat(self, seeds: Iterable[str]) -> None:
+    def send_due(self, seeds: Iterable[str]) -> None:
         """Do what is due each second.
 
         Args:
             seeds: IP addresses to greet as long as nobody is heard.
         """
         since = self._members.clock() - self._near_sent_at
-        self.send_beats(to_zone=since >= NEAR_COVERS_SECONDS)
+        self.send_heartbeats(to_zone=since >= NEAR_COVERS_SECONDS)
         if self._members.live():
             self._ask_for_names()
         else:
             self.greet(seeds)
         self._members.check()
 
-    def send_beats(self, *, to_zone: bool = True) -> None:
+    def send_heartbeats(self, *, to_zone: bool = True) -> None:
         """Send a heartbeat now to everybody who should have it.
 
         Args:
@@ -265,8 +267,8 @@
         # A last one, if any, which says that this host is no relay any more.
         return before
 
-    def _send_all(self, addresses: set[str], beat: Beat) -> None:
-        datagram = encode_beat(beat)
+    def _send_all(self, addresses: set[str], beat: HeartbeatDatagram) -> None:
+        datagram = encode_heartbeat(beat)
         for address in addresses:
             self._send_bytes(address, datagram)
 
@@ -278,14 +280,14 @@
         """
         greeted = self._near_addresses().union(seeds)
         for address in greeted - {self._members.own.address}:
-            self._send(address, self._beat(BeatKind.hello))
+            self._send(address, self._beat(HeartbeatKind.hello))
 
     def _ask_for_names(self) -> None:
         """Ask a host of the zone that knows more of it than this one."""
         informed = self._members.better_informed()
         if informed:
             asked = self._random.choice(informed)
-            self._send(asked.peer.address, self._beat(BeatKind.hello))
+            self._send(asked.peer.address, self._beat(HeartbeatKind.hello))
 
     async def _greet(self, seeds: tuple[str, ...]) -> None:
         for _ in range(3):
@@ -294,7 +296,7 @@
             self.is_greeted.set()
             if self._members.live():
                 # To the hosts just named, which have not heard of this one.
-                self.send_beats()
+                self.send_heartbeats()
                 return
 
     def _answer(self, newcomer: PeerName) -> None:
@@ -304,12 +306,12 @@
         ask 20 times until it knew all.
         """
         near, far = self._names_for(newcomer.zone)
-        starts = range(0, min(len(near), MOST_ANSWERS * MOST_NAMED), MOST_NAMED)
-        parts = [near[start : start + MOST_NAMED] for start in starts]
+        starts = range(0, min(len(near), MOST_ANSWERS * MAX_NAMED), MAX_NAMED)
+        parts = [near[start : start + MAX_NAMED] for start in starts]
         if far or not parts:
             parts.append(far)
         for named in parts:
-            answer = self._beat(BeatKind.answer, named=named)
+            answer = self._beat(HeartbeatKind.answer, named=named)
             self._send(newcomer.address, answer)
 
     def _near_addresses(self) -> set[str]:
@@ -342,23 +344,23 @@
             self._random.shuffle(others)
         return targets + others[: FAR_TARGETS - len(targets)]
 
-    def _is_far_hello(self, beat: Beat) -> bool:
+    def _is_far_hello(self, beat: HeartbeatDatagram) -> bool:
         is_far = beat.sender.zone != self._members.own.zone
-        return is_far and beat.kind is BeatKind.hello
+        return is_far and beat.kind is HeartbeatKind.hello
 
-    def _is_misdirected(self, beat: Beat) -> bool:
+    def _is_misdirected(self, beat: HeartbeatDatagram) -> bool:
         members = self._members
         is_far = beat.sender.zone != members.own.zone
         return is_far and beat.is_relay and not members.is_relay
 
-    def _redirect(self, beat: Beat) -> None:
+    def _redirect(self, beat: HeartbeatDatagram) -> None:
         members = self._members
         named = tuple(
             members.table[name].peer
             for name in members.relays
             if name in members.table
         )
-        answer = self._beat(BeatKind.redirect, named=named)
+        answer = self._beat(HeartbeatKind.redirect, named=named)
         self._send(beat.sender.address, answer)
 
     def _names_for(
@@ -371,7 +373,7 @@
         far = [one.peer for one in members.live() if one.peer.zone != zone]
         self._random.shuffle(near)
         self._random.shuffle(far)
-        return tuple(near), tuple(far[:MOST_NAMED])
+        return tuple(near), tuple(far[:MAX_NAMED])
 
     def _far_names(self, amount: int) -> tuple[PeerName, ...]:
         """Return a host each of other zones, which take turns."""
@@ -390,14 +392,14 @@
 
     def _beat(
         self,
-        kind: BeatKind = BeatKind.beat,
+        kind: HeartbeatKind = HeartbeatKind.heartbeat,
         *,
         named: tuple[PeerName, ...] = (),
         zone_loads: tuple[ZoneLoad, ...] = (),
-    ) -> Beat:
+    ) -> HeartbeatDatagram:
         self._number += 1
         members = self._members
-        return Beat(
+        return HeartbeatDatagram(
             kind=kind,
             sender=members.own,
             run=self._run,
@@ -414,13 +416,13 @@
             zone_loads=zone_loads,
             contact=members.contact_age,
             is_sentinel=members.is_sentinel(),
-            is_doubting=members.is_doubting(),
+            is_contact_suspect=members.is_contact_suspect(),
             lost=tuple(sorted(members.lost)),
             state_age=self.state_age(),
         )
 
-    def _send(self, address: str, beat: Beat) -> None:
-        self._send_bytes(address, encode_beat(beat))
+    def _send(self, address: str, beat: HeartbeatDatagram) -> None:
+        self._send_bytes(address, encode_heartbeat(beat))
 
 
 def _no_age() -> ToldAge | None:
@@ -438,5 +440,5 @@
     return False
 
 
-def _ignore(_beat: Beat) -> None:
+def _ignore(_beat: HeartbeatDatagram) -> None:
     """Do nothing; the default of the callback."""
--- a/src/wardstair/fleet/beats.py
+++ b/src/wardstair/fleet/heartbeats.py
@@ -19,13 +19,13 @@
 _FORMAT = 11
 _UNREADABLE = (cbor2.CBORDecodeError, ValueError, TypeError, LookupError)
 # Hosts named in one answer to a newcomer, so that a datagram holds them.
-MOST_NAMED = 16
+MAX_NAMED = 16
 
 
-class BeatKind(IntEnum):
+class HeartbeatKind(IntEnum):
     """What a datagram is for."""
 
-    beat = 0
+    heartbeat = 0
     # From a host that has just started; answered by names of others.
     hello = 1
     # To a host of another zone that took this one for a relay of its zone:
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class HeartbeatDatagram:
     """One heartbeat.
 
     Attributes:
@@ -159,13 +159,13 @@
         contact: Age of the sender's contact with the store; None if it has
             none.
         is_sentinel: Whether the sender watches the store closely for all.
-        is_doubting: Whether a watch of the sender is late.
+        is_contact_suspect: Whether a watch of the sender is late.
         lost: Groups of upstreams that the sender does not reach.
         state_age: Age of the sender's state; None if it was never known to be
             complete.
     """
 
-    kind: BeatKind
+    kind: HeartbeatKind
     sender: PeerName
     run: int
     number: int
@@ -181,12 +181,12 @@
     zone_loads: tuple[ZoneLoad, ...] = ()
     contact: ContactAge | None = None
     is_sentinel: bool = False
-    is_doubting: bool = False
+    is_contact_suspect: bool = False
     lost: tuple[str, ...] = ()
     state_age: ToldAge | None = None
 
 
-def encode_beat(beat: Beat) -> bytes:
+def encode_heartbeat(beat: HeartbeatDatagram) -> bytes:
     """Encode a heartbeat as one datagram."""
     return cbor2.dumps(
         [
@@ -207,21 +207,21 @@
             [[told.zone, round(told.load, 1)] for told in beat.zone_loads],
             _contact_row(beat.contact),
             beat.is_sentinel,
-            beat.is_doubting,
+            beat.is_contact_suspect,
             beat.lost,
             age_row(beat.state_age),
         ]
     )
 
 
-def decode_beat(datagram: bytes) -> Beat | None:
+def decode_heartbeat(datagram: bytes) -> HeartbeatDatagram | None:
     """Decode a datagram; None if it is no heartbeat of this format."""
     try:
         row = cbor2.loads(datagram)
         if row[0] != _FORMAT:
             return None
-        return Beat(
-            BeatKind(row[1]),
+        return HeartbeatDatagram(
+            HeartbeatKind(row[1]),
             PeerName(*row[2]),
             int(row[3]),
             int(row[4]),
--- a/src/wardstair/fleet/loads.py
+++ b/src/wardstair/fleet/loads.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from wardstair.decisions.fleet_rate import LoadView
-from wardstair.fleet.beats import Beat, ZoneLoad
+from wardstair.fleet.heartbeats import HeartbeatDatagram, ZoneLoad
 from wardstair.fleet.members import FORGOTTEN_SECONDS, GONE_SECONDS, Members
 
 # How far back requests count towards the load that a host tells. Shorter,
@@ -17,10 +17,10 @@
 LOAD_SECONDS = 3.0
 # Zones that one heartbeat inside a zone tells of; more take turns. With all of
 # 62 a relay would send 22 KB a second to 18 hosts, with these 6 (by encoding).
-MOST_TOLD = 16
+MAX_REPORTED_ZONES = 16
 # Time for the loads of all zones to be told once the first limit is known: two
 # heartbeats to the other zones, and inside the zone four for 62 and one lost.
-TOLD_SECONDS = 7.0
+ZONE_REPORTS_SECONDS = 7.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +76,7 @@
         elif self._needed_since is None:
             self._needed_since = now
 
-    def take_in(self, beat: Beat) -> None:
+    def record(self, beat: HeartbeatDatagram) -> None:
         """Take in what a heartbeat tells of zones."""
         now = self.members.clock()
         for told in beat.zone_loads:
@@ -93,7 +93,7 @@
             return False
         return self.members.clock() - known.at < FORGOTTEN_SECONDS
 
-    def told(self, *, to_others: bool) -> tuple[ZoneLoad, ...]:
+    def reported(self, *, to_others: bool) -> tuple[ZoneLoad, ...]:
         """Return what this host's heartbeat tells of zones.
 
         Args:
@@ -109,10 +109,10 @@
             for zone, told in self._zones.items()
             if self._is_told_directly(zone)
         ]
-        if len(known) <= MOST_TOLD:
+        if len(known) <= MAX_REPORTED_ZONES:
             return tuple(known)
-        turns = range(self._turn, self._turn + MOST_TOLD)
-        self._turn += MOST_TOLD
+        turns = range(self._turn, self._turn + MAX_REPORTED_ZONES)
+        self._turn += MAX_REPORTED_ZONES
         return tuple(known[turn % len(known)] for turn in turns)
 
     def view(self, *, is_settled: bool, knows_zones: bool) -> LoadView:
@@ -175,7 +175,9 @@
     def _untold(self, *, knows_zones: bool) -> Iterable[str]:
         """Return zones whose load is not told but may be there."""
         since = self._needed_since
-        is_new = since is None or self.members.clock() - since < TOLD_SECONDS
+        is_new = (
+            since is None or self.members.clock() - since < ZONE_REPORTS_SECONDS
+        )
         if not knows_zones:
             return self.regions().keys()
         if not is_new:
--- a/src/wardstair/fleet/member.py
+++ b/src/wardstair/fleet/member.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from wardstair.decisions.entry_expiry import ContactPeriod
-from wardstair.fleet.beats import Beat, PeerName, Versions
+from wardstair.fleet.heartbeats import HeartbeatDatagram, PeerName, Versions
 
 
 @dataclass(slots=True)
@@ -20,7 +20,7 @@
         is_leaving: Whether it said that it is about to stop.
         hears_store: Whether it said that it is in contact with the store.
         is_sentinel: Whether it said that it watches the store closely for all.
-        is_doubting: Whether it said that a watch of the store is late.
+        is_contact_suspect: Whether it said that a watch of the store is late.
         is_busy: Whether it said that it is short of processor time.
         is_relay: Whether it said that it is a relay of its zone.
         zone_size: Hosts that it knows of in its zone.
@@ -41,7 +41,7 @@
     is_leaving: bool = False
     hears_store: bool = False
     is_sentinel: bool = False
-    is_doubting: bool = False
+    is_contact_suspect: bool = False
     is_busy: bool = False
     is_relay: bool = False
     zone_size: int = 0
@@ -52,7 +52,7 @@
     was_live: bool = False
     lost: frozenset[str] = frozenset()
 
-    def take_in(self, beat: Beat, now: float) -> None:
+    def take_in(self, beat: HeartbeatDatagram, now: float) -> None:
         """Note what a heartbeat says."""
         self.peer = beat.sender
         self.heard_at = now
@@ -61,7 +61,7 @@
         self.number = beat.number
         self.hears_store = beat.hears_store
         self.is_sentinel = beat.is_sentinel
-        self.is_doubting = beat.is_doubting
+        self.is_contact_suspect = beat.is_contact_suspect
         self.is_busy = beat.is_busy
         self.is_relay = beat.is_relay
         self.zone_size = beat.zone_size
--- a/src/wardstair/fleet/members.py
+++ b/src/wardstair/fleet/members.py
@@ -10,7 +10,7 @@
 from wardstair.decisions.relays import RelayCandidate, choose_relays
 from wardstair.decisions.sentinels import Watcher, choose_sentinels
 from wardstair.decisions.timing import LEAST_REPLACED_SECONDS
-from wardstair.fleet.beats import Beat, ContactAge, PeerName
+from wardstair.fleet.heartbeats import ContactAge, HeartbeatDatagram, PeerName
 from wardstair.fleet.member import Member
 from wardstair.process.log import log_event
 
@@ -45,12 +45,12 @@
         own: This host.
         clock: Monotonic time in seconds.
         hears_store: Whether this host is in contact with the store.
-        replaced_seconds: Silence after which a relay is replaced.
+        relay_timeout: Silence after which a relay is replaced.
         is_settled: Whether this host had time to hear the others.
         sentinel_silence: Silence after which a sentinel is replaced.
         is_sentinel: Whether this host watches the store closely for all.
-        is_doubting: Whether this host doubts its contact with the store.
-        on_doubt: Called when another host begins to doubt its contact.
+        is_contact_suspect: Whether this host doubts its contact with the store.
+        on_suspect: Called when another host begins to doubt its contact.
         is_busy: Whether this host is short of processor time.
         own_contact: Returns this host's contact with the store; None if there
             is none.
@@ -70,7 +70,7 @@
     own: PeerName
     clock: Callable[[], float]
     hears_store: Callable[[], bool] = field(default=lambda: False)
-    replaced_seconds: Callable[[], float] = field(
+    relay_timeout: Callable[[], float] = field(
         default=lambda: LEAST_REPLACED_SECONDS,
     )
     is_settled: Callable[[], bool] = field(default=lambda: True)
@@ -78,8 +78,8 @@
         default=lambda: LEAST_REPLACED_SECONDS,
     )
     is_sentinel: Callable[[], bool] = field(default=lambda: False)
-    is_doubting: Callable[[], bool] = field(default=lambda: False)
-    on_doubt: Callable[[], None] = field(default=lambda: None)
+    is_contact_suspect: Callable[[], bool] = field(default=lambda: False)
+    on_suspect: Callable[[], None] = field(default=lambda: None)
     is_busy: bool = False
     own_contact: Callable[[], ContactPeriod | None] = field(
         default=lambda: None,
@@ -100,7 +100,7 @@
     @property
     def relays(self) -> tuple[str, ...]:
         """The relays of this host's zone."""
-        silent = self.replaced_seconds()
+        silent = self.relay_timeout()
         candidates = [
             RelayCandidate(one.peer.name, one.hears_store)
             for one in self.in_zone(self.own.zone)
@@ -150,9 +150,13 @@
 
     def _may_watch(self, member: Member) -> bool:
         """Return whether a host can watch the store for others."""
-        if member.is_leaving or not member.hears_store or member.is_doubting:
+        if (
+            member.is_leaving
+            or not member.hears_store
+            or member.is_contact_suspect
+        ):
             return False
-        silence = self.replaced_seconds()
+        silence = self.relay_timeout()
         if member.is_sentinel:
             silence = min(silence, self.sentinel_silence())
         return self.is_heard(member, silence)
@@ -258,7 +262,7 @@
             one.peer for one in self.in_zone(zone) if one.confirmed_at > end
         ]
 
-    def hear(self, beat: Beat) -> bool:
+    def hear(self, beat: HeartbeatDatagram) -> bool:
         """Take in a heartbeat; return whether it is news."""
         if beat.sender.name == self.own.name:
             return False
@@ -269,10 +273,12 @@
             self.table[beat.sender.name] = member
         if member.run == beat.run and member.number >= beat.number:
             return False
-        begins_to_doubt = beat.is_doubting and not member.is_doubting
+        begins_to_doubt = (
+            beat.is_contact_suspect and not member.is_contact_suspect
+        )
         member.take_in(beat, now)
         if begins_to_doubt:
-            self.on_doubt()
+            self.on_suspect()
         self._note_heard()
         if beat.versions.configuration >= 0 and not self.has_heard_configured:
             self.has_heard_configured = True
@@ -434,5 +440,5 @@
         if self.heard_since is None:
             self.heard_since = self.clock()
 
-    def _has_stepped_down(self, beat: Beat) -> bool:
+    def _has_stepped_down(self, beat: HeartbeatDatagram) -> bool:
         return beat.sender.zone != self.own.zone and not beat.is_relay
--- a/src/wardstair/fleet/relaying.py
+++ b/src/wardstair/fleet/peer_requests.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayedRequest:
+class PeerRequest:
     """A request on its way through two entry hosts.
 
     Attributes:
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayedAnswer:
+class PeerAnswer:
     """What became of it.
 
     Attributes:
@@ -76,7 +76,7 @@
     lost: tuple[str, ...] = ()
 
 
-def encode_request(relayed: RelayedRequest) -> bytes:
+def encode_request(relayed: PeerRequest) -> bytes:
     """Encode a request."""
     return cbor2.dumps(
         [
@@ -98,13 +98,13 @@
     )
 
 
-def decode_request(document: bytes) -> RelayedRequest | None:
+def decode_request(document: bytes) -> PeerRequest | None:
     """Decode a request; None if it is none of this format."""
     try:
         row = cbor2.loads(document)
         if row[0] != _FORMAT:
             return None
-        return RelayedRequest(
+        return PeerRequest(
             request_id=str(row[1]),
             method=str(row[2]),
             target=str(row[3]),
@@ -123,7 +123,7 @@
         return None
 
 
-def encode_answer(answer: RelayedAnswer) -> bytes:
+def encode_answer(answer: PeerAnswer) -> bytes:
     """Encode an answer."""
     return cbor2.dumps(
         [
@@ -138,13 +138,13 @@
     )
 
 
-def decode_answer(document: bytes) -> RelayedAnswer | None:
+def decode_answer(document: bytes) -> PeerAnswer | None:
     """Decode an answer; None if it is none of this format."""
     try:
         row = cbor2.loads(document)
         if row[0] != _FORMAT:
             return None
-        return RelayedAnswer(
+        return PeerAnswer(
             status=int(row[1]),
             reason=str(row[2]),
             headers=_pairs(row[3]),
--- a/src/wardstair/fleet/sharing.py
+++ b/src/wardstair/fleet/sharing.py
@@ -13,7 +13,7 @@
 
 from wardstair.decisions.state_age import ToldAge
 from wardstair.decisions.suspicion import Evidence
-from wardstair.fleet.beats import Versions, age_of, age_row, versions_of
+from wardstair.fleet.heartbeats import Versions, age_of, age_row, versions_of
 from wardstair.state.catalog import CatalogChanges
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
 from wardstair.state.limits import SharedLimit
--- a/src/wardstair/gateway/endpoints.py
+++ b/src/wardstair/gateway/endpoints.py
@@ -7,7 +7,7 @@
 from tornado.web import Application, RequestHandler
 
 from wardstair.decisions.reach import ALL
-from wardstair.fleet.beats import PeerName
+from wardstair.fleet.heartbeats import PeerName
 from wardstair.fleet.members import Members
 from wardstair.fleet.naming import NamedHost, name_hosts
 from wardstair.fleet.sharing import decode_versions
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -23,7 +23,7 @@
     ResendLimit,
     host_limit,
 )
-from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
+from wardstair.fleet.peer_requests import PeerAnswer, PeerRequest
 from wardstair.gateway import refusals
 from wardstair.gateway.admission import Admission
 from wardstair.gateway.choosing import Ask, Chooser, Placement
@@ -147,7 +147,7 @@
             return self._hold(course)
         return await self._carry(course)
 
-    async def serve_relayed(self, relayed: RelayedRequest) -> RelayedAnswer:
+    async def serve_relayed(self, relayed: PeerRequest) -> PeerAnswer:
         """Carry a request that another host has handed on.
 
         That host has authorised it and counted it against the quota. It is not
@@ -188,7 +188,7 @@
             if not course.is_ended:
                 self._reporter.caller_left(course.trail)
 
-    def _begin_relayed(self, relayed: RelayedRequest) -> Course | None:
+    def _begin_relayed(self, relayed: PeerRequest) -> Course | None:
         """Begin a request of another host; None if this one lacks its state."""
         steering = self._belief.steering
         if steering is None or steering.version < relayed.version:
@@ -495,7 +495,7 @@
         course.hop = None
         self._reporter.handed_on(course.trail, outcome)
         match outcome:
-            case HopOutcome(end=HopEnd.answered, answer=RelayedAnswer() as had):
+            case HopOutcome(end=HopEnd.answered, answer=PeerAnswer() as had):
                 course.is_ended = True
                 return reply_of(had)
             case HopOutcome(end=HopEnd.lost | HopEnd.unknown):
@@ -512,7 +512,7 @@
                 return self._send_again(course, ResendReason.lost)
             case HopOutcome(end=HopEnd.refused) if course.may_have_run:
                 return self._give_up(course)
-            case HopOutcome(end=end, answer=RelayedAnswer() as refusal):
+            case HopOutcome(end=end, answer=PeerAnswer() as refusal):
                 course.is_ended = True
                 if end is HopEnd.refused:
                     self._admission.give_back(course.organisation)
--- a/src/wardstair/gateway/handing_on.py
+++ b/src/wardstair/gateway/handing_on.py
@@ -22,9 +22,9 @@
 )
 from wardstair.decisions.reach import ALL, service_group
 from wardstair.fleet.members import Members
-from wardstair.fleet.relaying import (
-    RelayedAnswer,
-    RelayedRequest,
+from wardstair.fleet.peer_requests import (
+    PeerAnswer,
+    PeerRequest,
     decode_answer,
     encode_request,
 )
@@ -73,7 +73,7 @@
 
     end: HopEnd
     host: str = ''
-    answer: RelayedAnswer | None = None
+    answer: PeerAnswer | None = None
     seconds: float = 0.0
 
 
@@ -134,7 +134,7 @@
 
     async def send(
         self,
-        relayed: Callable[[], RelayedRequest],
+        relayed: Callable[[], PeerRequest],
         homes: frozenset[str],
     ) -> HopOutcome:
         """Hand a request on and wait for the outcome.
@@ -189,7 +189,7 @@
     async def _offer(
         self,
         helper: PeerCandidate,
-        relayed: Callable[[], RelayedRequest],
+        relayed: Callable[[], PeerRequest],
     ) -> HopOutcome:
         started = time.monotonic()
         connection = await self._connection(helper.name)
@@ -224,8 +224,8 @@
         self,
         name: str,
         connection: UpstreamConnection,
-        relayed: RelayedRequest,
-    ) -> RelayedAnswer | None:
+        relayed: PeerRequest,
+    ) -> PeerAnswer | None:
         body = encode_request(relayed)
         sent = connection.send(
             _head(len(body)),
@@ -252,7 +252,7 @@
             self._known_at = float('-inf')
 
 
-def _end_of(answer: RelayedAnswer) -> HopEnd:
+def _end_of(answer: PeerAnswer) -> HopEnd:
     if not answer.is_own:
         return HopEnd.answered
     if answer.status in _NOT_RUN:
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -12,14 +12,14 @@
 from wardstair.decisions.processor_pressure import ProcessorPressure
 from wardstair.decisions.reach import reach_times
 from wardstair.decisions.state_age import RefreshTimes, refresh_times
-from wardstair.fleet.beats import Beat, PeerName
 from wardstair.fleet.demand import DemandTable
-from wardstair.fleet.demand_radio import DemandRadio
+from wardstair.fleet.demand_endpoint import DemandEndpoint
+from wardstair.fleet.heartbeat_endpoint import HeartbeatEndpoint
+from wardstair.fleet.heartbeats import HeartbeatDatagram, PeerName
 from wardstair.fleet.loads import FleetLoads
 from wardstair.fleet.members import Members
 from wardstair.fleet.naming import ENOUGH_HOSTS
-from wardstair.fleet.radio import Radio
-from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
+from wardstair.fleet.peer_requests import PeerAnswer, PeerRequest
 from wardstair.gateway.admission import Admission
 from wardstair.gateway.authorising import Authoriser
 from wardstair.gateway.bodies import body_room
@@ -143,11 +143,11 @@
             self.live_settings.current.timing.sentinel_silence
         )
         self.members.is_sentinel = lambda: self.is_sentinel
-        self.members.is_doubting = lambda: self.contact.is_doubted
-        self.members.on_doubt = self.contact.renew_watches
+        self.members.is_contact_suspect = lambda: self.contact.is_doubted
+        self.members.on_suspect = self.contact.renew_watches
         self.members.own_contact = lambda: self.contact.span
         self.contact.others = self.members.contacts
-        self.radio = Radio(
+        self.radio = HeartbeatEndpoint(
             self.members,
             settings.fleet_ports[0],
             lambda: self.belief.versions,
@@ -164,7 +164,7 @@
         )
         self._role_log = RoleLog(roles)
         self.radio.state_age = lambda: self.belief.age.told
-        self.belief.age.on_fresh = self.radio.tell_age
+        self.belief.age.on_fresh = self.radio.announce_age
         self.sync = StoreSync(
             self.store,
             self.contact,
@@ -180,7 +180,7 @@
             settings.zone,
             lambda: self.live_settings.current.timing,
         )
-        self.radio.on_beat = self._on_beat
+        self.radio.on_heartbeat = self._on_beat
         self.radio.on_state = self.exchange.take_datagram
         self._news = NewsSender(
             self.radio,
@@ -237,13 +237,13 @@
             lambda: self.live_settings.current.zones,
             lambda: not self.chooser.limited_sends.is_idle,
         )
-        self.radio.zone_loads = self.loads.told
-        self._suspect_teller = NewsTeller(self.radio.send_beats)
+        self.radio.zone_loads = self.loads.reported
+        self._suspect_teller = NewsTeller(self.radio.send_heartbeats)
         self._limit_teller = NewsTeller(
-            self.radio.send_beats,
+            self.radio.send_heartbeats,
             LIMIT_NEWS_SECONDS,
         )
-        self._reach_teller = NewsTeller(self.radio.send_beats)
+        self._reach_teller = NewsTeller(self.radio.send_heartbeats)
         self.belief.limits.on_change = self._on_limits
         self._life_ends = LifeEnds(
             self.belief,
@@ -272,7 +272,7 @@
                 self.quotas.own_refused,
             )
         )
-        self.demand_radio = DemandRadio(
+        self.demand_radio = DemandEndpoint(
             self.members,
             self.quotas.table,
             settings.fleet_ports[0] + DEMAND_PORT_OFFSET,
@@ -362,7 +362,7 @@
         spawn('contact', self.sync.prove_contact)
         spawn('registration', self.registration.run)
         spawn('heartbeats', lambda: self.radio.run(seeds))
-        spawn('sentinel-heartbeats', self.radio.run_closely)
+        spawn('sentinel-heartbeats', self.radio.run_sentinel)
         spawn('demand', self.demand_radio.run)
         spawn('sweep', self._sweep)
         spawn('state-age', self.refresher.run)
@@ -384,7 +384,7 @@
         self.callers.is_stopping = True
         self.directory.is_leaving = True
         self.members.is_leaving = True
-        self.radio.send_beats()
+        self.radio.send_heartbeats()
         log_event('host-stopping', open=self.callers.open_count)
         await asyncio.sleep(LINGER_SECONDS)
         self._listeners.stop_callers()
@@ -519,8 +519,8 @@
         await self.registration.check_for_restore()
         await self._follow(self.sync.upstreams)()
 
-    def _on_beat(self, beat: Beat) -> None:
-        self.loads.take_in(beat)
+    def _on_beat(self, beat: HeartbeatDatagram) -> None:
+        self.loads.record(beat)
         self.exchange.on_beat(beat)
 
     def _on_limits(self) -> None:
@@ -536,7 +536,7 @@
             self.loads.note_request()
         return await self.forwarder.serve(inbound)
 
-    async def _serve_relayed(self, relayed: RelayedRequest) -> RelayedAnswer:
+    async def _serve_relayed(self, relayed: PeerRequest) -> PeerAnswer:
         self.loads.note_request()
         return await self.forwarder.serve_relayed(relayed)
 
@@ -558,7 +558,7 @@
     def _on_doubt(self) -> None:
         """Let others watch the store while this sentinel doubts its contact."""
         if self.is_sentinel:
-            self.radio.send_beats()
+            self.radio.send_heartbeats()
 
     def _is_wanted(self, name: str) -> bool:
         upstream = self.belief.catalog.upstreams.get(name)
--- a/src/wardstair/gateway/news.py
+++ b/src/wardstair/gateway/news.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from wardstair.decisions.timing import Timing
-from wardstair.fleet.radio import Radio
+from wardstair.fleet.heartbeat_endpoint import HeartbeatEndpoint
 from wardstair.state.exchange import News, StateExchange
 from wardstair.state.roles import Roles
 
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        radio: Radio,
+        radio: HeartbeatEndpoint,
         exchange: StateExchange,
         roles: Roles,
         timing: Callable[[], Timing],
@@ -44,7 +44,7 @@
         news = self._exchange.take_news()
         if news is None:
             # Others may lack what hosts merge; the next heartbeat tells again.
-            self._radio.send_beats()
+            self._radio.send_heartbeats()
             return
         self._send(news)
         self.close()
@@ -63,4 +63,4 @@
         if news.state is not None:
             is_sentinel = self._roles.is_sentinel()
             self._radio.send_state(news.state, to_others=is_sentinel)
-        self._radio.send_beats()
+        self._radio.send_heartbeats()
--- a/src/wardstair/gateway/relay_server.py
+++ b/src/wardstair/gateway/relay_server.py
@@ -6,9 +6,9 @@
 
 from tornado.web import RequestHandler
 
-from wardstair.fleet.relaying import (
-    RelayedAnswer,
-    RelayedRequest,
+from wardstair.fleet.peer_requests import (
+    PeerAnswer,
+    PeerRequest,
     decode_request,
     encode_answer,
 )
@@ -18,7 +18,7 @@
 
 # Gets a request; returns its answer, and is cancelled if the host that handed
 # it on gives up.
-ServeRelayed = Callable[[RelayedRequest], Awaitable[RelayedAnswer]]
+ServeRelayed = Callable[[PeerRequest], Awaitable[PeerAnswer]]
 
 
 class RelayServer:
@@ -44,7 +44,7 @@
         self._is_idle = asyncio.Event()
         self._is_idle.set()
 
-    async def serve(self, relayed: RelayedRequest) -> RelayedAnswer:
+    async def serve(self, relayed: PeerRequest) -> PeerAnswer:
         """Serve a request, or refuse it."""
         size = len(relayed.body)
         if self.is_stopping or not self._bodies.take(size):
@@ -81,7 +81,7 @@
             server: Serves them.
         """
         self._server = server
-        self._serving: asyncio.Task[RelayedAnswer] | None = None
+        self._serving: asyncio.Task[PeerAnswer] | None = None
 
     async def post(self) -> None:
         """Serve the request and answer with what became of it."""
--- a/src/wardstair/gateway/relayed.py
+++ b/src/wardstair/gateway/relayed.py
@@ -2,13 +2,13 @@
 
 import time
 
-from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
+from wardstair.fleet.peer_requests import PeerAnswer, PeerRequest
 from wardstair.gateway.course import Course
 from wardstair.gateway.messages import Inbound, Reply
 from wardstair.gateway.refusals import Ending
 
 
-def inbound_of(relayed: RelayedRequest) -> Inbound:
+def inbound_of(relayed: PeerRequest) -> Inbound:
     """Return a request that another host has handed on as one of a caller."""
     return Inbound(
         request_id=relayed.request_id,
@@ -25,10 +25,10 @@
     )
 
 
-def relayed_of(course: Course) -> RelayedRequest:
+def relayed_of(course: Course) -> PeerRequest:
     """Return a request as it is handed on now."""
     inbound = course.inbound
-    return RelayedRequest(
+    return PeerRequest(
         request_id=inbound.request_id,
         method=inbound.method,
         target=inbound.target,
@@ -45,14 +45,14 @@
     )
 
 
-def answer_of(reply: Reply, lost: frozenset[str]) -> RelayedAnswer:
+def answer_of(reply: Reply, lost: frozenset[str]) -> PeerAnswer:
     """Return a reply as it goes back to the host that handed its request on.
 
     Args:
         reply: The reply.
         lost: Groups of upstreams that this host does not reach.
     """
-    return RelayedAnswer(
+    return PeerAnswer(
         reply.status,
         reply.reason,
         reply.headers,
@@ -62,7 +62,7 @@
     )
 
 
-def reply_of(answer: RelayedAnswer) -> Reply:
+def reply_of(answer: PeerAnswer) -> Reply:
     """Return the reply to a caller whose request another host has answered."""
     return Reply(
         answer.status,
@@ -75,9 +75,9 @@
 
 def refusal_of(
     ending: Ending,
-    relayed: RelayedRequest,
+    relayed: PeerRequest,
     lost: frozenset[str] = frozenset(),
-) -> RelayedAnswer:
+) -> PeerAnswer:
     """Return the answer to a request that this host refuses.
 
     Args:
--- a/src/wardstair/gateway/sending.py
+++ b/src/wardstair/gateway/sending.py
@@ -6,7 +6,7 @@
 
 from wardstair.connection.pool import (
     CONNECTION_LIMIT,
-    LEAST_FORGOTTEN_SECONDS,
+    MIN_DROPPED_IDLE_SECONDS,
     ConnectFailed,
     UpstreamPool,
 )
@@ -203,7 +203,7 @@
             connection.close()
             return Withheld()
         started = time.monotonic()
-        rested = started - connection.rested_at
+        rested = started - connection.idle_since
         is_new = not connection.has_served
         if started >= until:
             self._pool.give_back(upstream.name, connection)
@@ -241,18 +241,18 @@
                 is_forgotten = (
                     reason in _FORGOTTEN
                     and connection.has_served
-                    and rested >= LEAST_FORGOTTEN_SECONDS
+                    and rested >= MIN_DROPPED_IDLE_SECONDS
                 )
                 if is_forgotten:
-                    forgetfulness = self._pool.forgetfulness
-                    forgetfulness.note(upstream.name, rested, started)
+                    idle_drops = self._pool.idle_drops
+                    idle_drops.note(upstream.name, rested, started)
                 return Lost(reason, is_forgotten)
             case RawAnswer() as answer:
                 self._note_answered(upstream, is_new=is_new)
                 seconds = time.monotonic() - started
                 fields = decode_upstream(answer.headers)
                 if fields.keep_seconds is not None:
-                    connection.keep_seconds = fields.keep_seconds
+                    connection.keep_alive_seconds = fields.keep_seconds
                 self._pool.give_back(upstream.name, connection)
                 outcome = _judge(answer, fields, seconds)
                 if _is_of(upstream, outcome):
--- a/src/wardstair/platform/objects.py
+++ b/src/wardstair/platform/objects.py
@@ -17,7 +17,7 @@
 
 from wardstair.decisions.suspicion import Evidence
 from wardstair.errors import ConfigurationError
-from wardstair.fleet.beats import PeerName
+from wardstair.fleet.heartbeats import PeerName
 from wardstair.state.revision import Revision
 from wardstair.version.organisations import (
     Organisation,
--- a/src/wardstair/state/belief.py
+++ b/src/wardstair/state/belief.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from wardstair.errors import ConfigurationError
-from wardstair.fleet.beats import Versions
+from wardstair.fleet.heartbeats import Versions
 from wardstair.fleet.sharing import SharedRestore
 from wardstair.platform.objects import (
     CONFIGURATION_KIND,
--- a/src/wardstair/state/exchange.py
+++ b/src/wardstair/state/exchange.py
@@ -23,7 +23,7 @@
 from wardstair.decisions.state_age import way_seconds
 from wardstair.decisions.suspicion import Evidence
 from wardstair.decisions.timing import Timing
-from wardstair.fleet.beats import Beat, Versions
+from wardstair.fleet.heartbeats import HeartbeatDatagram, Versions
 from wardstair.fleet.sharing import (
     SharedConfiguration,
     SharedEvacuations,
@@ -157,9 +157,9 @@
         self._timing = timing
         self._encoder = StateEncoder()
         # The last heartbeat of each host that is ahead, oldest first.
-        self._ahead: dict[str, Beat] = {}
+        self._ahead: dict[str, HeartbeatDatagram] = {}
         # The same of each host that is not, but tells of another digest.
-        self._differing: dict[str, Beat] = {}
+        self._differing: dict[str, HeartbeatDatagram] = {}
         # Digests of another host and this one when they were last compared.
         self._compared: dict[str, tuple[_Digests, _Digests]] = {}
         self._compared_at = float('-inf')
@@ -278,7 +278,7 @@
         # What begins later than what this host knows would leave a gap.
         return upstreams.since <= own.upstreams
 
-    def on_beat(self, beat: Beat) -> None:
+    def on_beat(self, beat: HeartbeatDatagram) -> None:
         """Fetch from a host that is ahead or differs, if none is asked now."""
         if beat.state_age is not None and not self._is_behind(beat.versions):
             is_near = beat.sender.zone == self._zone
@@ -288,7 +288,7 @@
         self._classify(beat)
         self._start_asking()
 
-    def _classify(self, beat: Beat) -> None:
+    def _classify(self, beat: HeartbeatDatagram) -> None:
         """Keep a heartbeat as the last one heard, if its sender is wanted."""
         name = beat.sender.name
         self._ahead.pop(name, None)
@@ -305,7 +305,7 @@
         if self._differing and _is_over(self._comparing):
             self._comparing = asyncio.ensure_future(self._compare())
 
-    def _differs(self, beat: Beat) -> bool:
+    def _differs(self, beat: HeartbeatDatagram) -> bool:
         """Return whether a host may know of what all should and this one lacks.
 
         Tables that are full or of another age differ for good; nobody is asked
@@ -346,13 +346,17 @@
             if await self._ask_next(self._differing, _MANY_COMPARISONS):
                 self._keep_last_differing()
 
-    def _next_of(self, heard: dict[str, Beat], most: int) -> Beat | None:
+    def _next_of(
+        self, heard: dict[str, HeartbeatDatagram], most: int
+    ) -> HeartbeatDatagram | None:
         """Return the heartbeat of the host to ask now; None for nobody."""
         self._drop_outdated()
         name = host_to_query(heard, self._fetches, most)
         return None if name is None else heard[name]
 
-    async def _ask_next(self, heard: dict[str, Beat], most: int) -> bool:
+    async def _ask_next(
+        self, heard: dict[str, HeartbeatDatagram], most: int
+    ) -> bool:
         """Ask one host; return whether that ended before it was late."""
         beat = self._next_of(heard, most)
         if beat is None:
@@ -370,7 +374,7 @@
         for name in tuple(self._differing)[:-1]:
             self._differing.pop(name)
 
-    def _grace_seconds(self, beat: Beat) -> float:
+    def _grace_seconds(self, beat: HeartbeatDatagram) -> float:
         """Return how long to leave news to the own watch, in seconds."""
         now = asyncio.get_running_loop().time()
         if is_any_overdue(self._late_at.values(), now):
@@ -393,7 +397,7 @@
             return self._roles.is_relay()
         return self._roles.is_sentinel()
 
-    async def _ask_for_a_while(self, beat: Beat) -> bool:
+    async def _ask_for_a_while(self, beat: HeartbeatDatagram) -> bool:
         """Fetch from a host; return whether that ended before it was late.
 
         One that is late is not given up: its failure is counted.
@@ -406,7 +410,9 @@
         fetch.result()
         return True
 
-    def _begin_fetch(self, beat: Beat, hedge: float) -> asyncio.Task[None]:
+    def _begin_fetch(
+        self, beat: HeartbeatDatagram, hedge: float
+    ) -> asyncio.Task[None]:
         name = beat.sender.name
         now = asyncio.get_running_loop().time()
         fetch = asyncio.ensure_future(self._fetch_from(beat))
@@ -420,12 +426,12 @@
         self._late_at.pop(name)
         self._start_asking()
 
-    def _hedge_seconds(self, beat: Beat) -> float:
+    def _hedge_seconds(self, beat: HeartbeatDatagram) -> float:
         is_near = beat.sender.zone == self._zone
         timing = self._timing()
         return timing.near_hedge if is_near else timing.far_hedge
 
-    async def _fetch_from(self, beat: Beat) -> None:
+    async def _fetch_from(self, beat: HeartbeatDatagram) -> None:
         """Fetch from a host, and take in what it answers."""
         asked_at = asyncio.get_running_loop().time()
         fetched = await self._fetch(beat.sender.address)
--- a/src/wardstair/state/registration.py
+++ b/src/wardstair/state/registration.py
@@ -15,7 +15,7 @@
 from wardstair.decisions.membership import rendezvous
 from wardstair.decisions.timing import SETTLE_SECONDS
 from wardstair.errors import ObjectMissing, PlatformError, VersionConflict
-from wardstair.fleet.beats import PeerName
+from wardstair.fleet.heartbeats import PeerName
 from wardstair.fleet.members import Members
 from wardstair.platform.objects import (
     HOST_KIND,
--- a/tests/functional/test_gateway_requests.py
+++ b/tests/functional/test_gateway_requests.py
@@ -19,7 +19,7 @@
     whole_answer,
 )
 
-from wardstair.connection.pool import LEAST_FORGOTTEN_SECONDS
+from wardstair.connection.pool import MIN_DROPPED_IDLE_SECONDS
 from wardstair.decisions.mechanisms import Mechanism
 from wardstair.decisions.placement_policies import POLICIES
 
@@ -468,7 +468,7 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         now = time.monotonic()
-        if now - served.get(writer, now) >= LEAST_FORGOTTEN_SECONDS:
+        if now - served.get(writer, now) >= MIN_DROPPED_IDLE_SECONDS:
             writer.transport.abort()
             return
         served[writer] = now
@@ -481,13 +481,13 @@
             name = f'r{number}'
             answer = await rig.ask('/read/x', request_id=name, Cookie=key)
             assert answer.status == 200
-            await asyncio.sleep(LEAST_FORGOTTEN_SECONDS)
+            await asyncio.sleep(MIN_DROPPED_IDLE_SECONDS)
         for number in range(12):
             key = f'Wardstair-Affinity-Key={number}'
             name = f'o{number}'
             answer = await rig.ask('/order/x', 'POST', b'x', name, Cookie=key)
             assert answer.status == 200
-            await asyncio.sleep(LEAST_FORGOTTEN_SECONDS)
+            await asyncio.sleep(MIN_DROPPED_IDLE_SECONDS)
         # It is no fault of theirs.
         now = time.monotonic()
         catalog = rig.gateway.belief.catalog
--- a/tests/functional/test_lapse_or_removal.py
+++ b/tests/functional/test_lapse_or_removal.py
@@ -11,7 +11,7 @@
 from lib.upstream_standin import UpstreamStandin
 from soak.proxy import Mode, Proxy
 
-from wardstair.fleet.radio import BEAT_SECONDS
+from wardstair.fleet.heartbeat_endpoint import HEARTBEAT_SECONDS
 from wardstair.gateway.host import GatewayHost
 from wardstair.state.catalog import RETURN_SECONDS
 
@@ -107,7 +107,7 @@
             store.status = None
             await until(lambda: first.is_held)
             # Long enough for entries to be back, and to tell of it.
-            await asyncio.sleep(RETURN_SECONDS + BEAT_SECONDS)
+            await asyncio.sleep(RETURN_SECONDS + HEARTBEAT_SECONDS)
             await late.bring_back()
             await late.remove('i-2')
             assert not uses(late.host, 'i-2')
--- a/tests/functional/test_leaving_while_connecting.py
+++ b/tests/functional/test_leaving_while_connecting.py
@@ -13,7 +13,7 @@
 
 from wardstair.connection.pool import ConnectFailed, UpstreamPool
 from wardstair.connection.upstream import UpstreamConnection
-from wardstair.fleet.relaying import RelayedRequest
+from wardstair.fleet.peer_requests import PeerRequest
 from wardstair.state.belief import Belief
 
 LEAVER = 'i-1'
@@ -255,9 +255,9 @@
     run(test)
 
 
-def relayed(name: str) -> RelayedRequest:
+def relayed(name: str) -> PeerRequest:
     """Return a request that may run only once, as another host hands it on."""
-    return RelayedRequest(
+    return PeerRequest(
         request_id=name,
         method='POST',
         target='/order/x',
--- a/tests/functional/test_stuck_fetch.py
+++ b/tests/functional/test_stuck_fetch.py
@@ -12,7 +12,7 @@
 from tornado.httpclient import HTTPClientError, HTTPRequest, HTTPResponse
 
 from wardstair.decisions.timing import KEPT_SHARE
-from wardstair.fleet.beats import Versions
+from wardstair.fleet.heartbeats import Versions
 from wardstair.gateway.host import GatewayHost
 
 AFTER_SECONDS = 5.0
@@ -150,7 +150,7 @@
         return replace(tell(), suspects=12345)
 
     host.radio._versions = told
-    host.radio.send_beats()
+    host.radio.send_heartbeats()
 
 
 @pytest.mark.parametrize('seed', [1, 2])
--- a/tests/lib/beats.py
+++ b/tests/lib/beats.py
@@ -1,9 +1,9 @@
 """Heartbeats for tests."""
 
-from wardstair.fleet.beats import (
-    Beat,
-    BeatKind,
+from wardstair.fleet.heartbeats import (
     ContactAge,
+    HeartbeatDatagram,
+    HeartbeatKind,
     PeerName,
     Versions,
     ZoneLoad,
@@ -19,7 +19,7 @@
     sender: PeerName,
     number: int = 1,
     *,
-    kind: BeatKind = BeatKind.beat,
+    kind: HeartbeatKind = HeartbeatKind.heartbeat,
     run: int = 7,
     is_leaving: bool = False,
     hears_store: bool = True,
@@ -33,10 +33,10 @@
     zone_loads: tuple[ZoneLoad, ...] = (),
     contact: ContactAge | None = None,
     is_sentinel: bool = False,
-    is_doubting: bool = False,
-) -> Beat:
+    is_contact_suspect: bool = False,
+) -> HeartbeatDatagram:
     """Return a heartbeat."""
-    return Beat(
+    return HeartbeatDatagram(
         kind,
         sender,
         run,
@@ -53,5 +53,5 @@
         zone_loads,
         contact,
         is_sentinel,
-        is_doubting,
+        is_contact_suspect,
     )
--- a/tests/lib/news.py
+++ b/tests/lib/news.py
@@ -13,7 +13,7 @@
 from lib.rig import free_ports, until
 from lib.specs import configuration_spec
 from lib.upstream_standin import UpstreamStandin
-from wardstair.fleet.radio import Radio
+from wardstair.fleet.heartbeat_endpoint import HeartbeatEndpoint
 from wardstair.gateway.host import GatewayHost
 from wardstair.gateway.settings import Bounds
 from wardstair.state.sync import LAG_SECONDS
@@ -95,7 +95,7 @@
     return any(upstream.name == name for upstream in known)
 
 
-def lose_share(radio: Radio, random: Random, share: float) -> None:
+def lose_share(radio: HeartbeatEndpoint, random: Random, share: float) -> None:
     """Have datagrams of a gateway lost.
 
     Args:
--- a/tests/lib/quota_load.py
+++ b/tests/lib/quota_load.py
@@ -14,7 +14,7 @@
     decode_report,
     encode_report,
 )
-from wardstair.fleet.demand_radio import JITTER, LOOK_SECONDS
+from wardstair.fleet.demand_endpoint import CHECK_SECONDS, JITTER
 from wardstair.gateway.quotas import Quotas
 from wardstair.gateway.settings import OrganisationBounds
 from wardstair.version.organisations import Organisation, Quota
@@ -154,7 +154,7 @@
             if not host.is_up or host.next_report > self.clock.now:
                 continue
             spread = self.random.uniform(-JITTER, JITTER)
-            host.next_report += LOOK_SECONDS * (1 + spread)
+            host.next_report += CHECK_SECONDS * (1 + spread)
             host.table.refresh()
             near = host.table.near_report(is_relay=host.is_relay)
             if near is not None:
@@ -257,7 +257,7 @@
         zone,
         DemandSharing(Organisation('choir', quota=fleet.quota), quotas),
         table,
-        clock.now + fleet.random.uniform(0, LOOK_SECONDS),
+        clock.now + fleet.random.uniform(0, CHECK_SECONDS),
         is_relay=False,
     )
 
--- a/tests/lib/wire.py
+++ b/tests/lib/wire.py
@@ -4,9 +4,9 @@
 from random import Random
 
 from lib.beats import peer_of
-from wardstair.fleet.beats import PeerName, Versions
+from wardstair.fleet.heartbeat_endpoint import HeartbeatEndpoint
+from wardstair.fleet.heartbeats import PeerName, Versions
 from wardstair.fleet.members import Members
-from wardstair.fleet.radio import Radio
 
 Passes = Callable[[str, str], bool]
 
@@ -29,7 +29,7 @@
     def __init__(self, seed: int = 1) -> None:
         self.now = 100.0
         self.sent = 0
-        self.hosts: dict[str, tuple[Members, Radio]] = {}
+        self.hosts: dict[str, tuple[Members, HeartbeatEndpoint]] = {}
         self.passes: Passes = pass_all
         self._random = Random(seed)
         self._seeds: dict[str, tuple[str, ...]] = {}
@@ -52,7 +52,7 @@
         for _ in range(times):
             self.now += 1
             for name, (_members, radio) in self.hosts.items():
-                radio.beat(self._seeds[name])
+                radio.send_due(self._seeds[name])
 
     def carry(self, sender: str, address: str, datagram: bytes) -> None:
         """Deliver a datagram, unless it is lost."""
@@ -62,7 +62,7 @@
             target[1].datagram_received(datagram, (sender, 1))
 
 
-class _WiredRadio(Radio):
+class _WiredRadio(HeartbeatEndpoint):
     def __init__(self, wire: Wire, members: Members, seed: int) -> None:
         super().__init__(members, 1, Versions, Random(seed))
         self._wire = wire
--- a/tests/unit/test_cold_after_evacuation.py
+++ b/tests/unit/test_cold_after_evacuation.py
@@ -16,7 +16,7 @@
 from lib.upstreams import ENTRY, Clock
 
 from wardstair.decisions.timing import timing_for
-from wardstair.fleet.beats import Versions
+from wardstair.fleet.heartbeats import Versions
 from wardstair.fleet.sharing import decode_state
 from wardstair.platform.objects import Metadata, StoredObject
 from wardstair.state.belief import Belief
--- a/tests/unit/test_entry_expiry.py
+++ b/tests/unit/test_entry_expiry.py
@@ -11,7 +11,11 @@
     ExpiryTimes,
     are_entries_restored,
 )
-from wardstair.fleet.beats import ContactAge, decode_beat, encode_beat
+from wardstair.fleet.heartbeats import (
+    ContactAge,
+    decode_heartbeat,
+    encode_heartbeat,
+)
 from wardstair.fleet.members import Members
 from wardstair.state.catalog import RETURN_SECONDS
 from wardstair.state.contact import StoreContact
@@ -108,7 +112,7 @@
     if is_heard:
         age = ContactAge(begin=60.0, proof=1.0)
         beat = beat_of(peer_of('other'), contact=age)
-        read = decode_beat(encode_beat(beat))
+        read = decode_heartbeat(encode_heartbeat(beat))
         assert read == beat
         members.hear(read)
     assert contact.was_away_lately is not is_heard
--- a/tests/unit/test_fleet_loads.py
+++ b/tests/unit/test_fleet_loads.py
@@ -5,8 +5,17 @@
 from lib.upstreams import Clock
 
 from wardstair.decisions.fleet_rate import LoadView
-from wardstair.fleet.beats import Beat, ZoneLoad, decode_beat, encode_beat
-from wardstair.fleet.loads import MOST_TOLD, TOLD_SECONDS, FleetLoads
+from wardstair.fleet.heartbeats import (
+    HeartbeatDatagram,
+    ZoneLoad,
+    decode_heartbeat,
+    encode_heartbeat,
+)
+from wardstair.fleet.loads import (
+    MAX_REPORTED_ZONES,
+    ZONE_REPORTS_SECONDS,
+    FleetLoads,
+)
 from wardstair.fleet.members import FORGOTTEN_SECONDS, Members
 
 REGIONS = {'z': 'r', 'y': 'r', 'x': 's'}
@@ -41,7 +50,7 @@
             zone_loads=told,
         )
         assert self.members.hear(beat)
-        self.loads.take_in(beat)
+        self.loads.record(beat)
 
     def view(self, *, knows_zones: bool = True) -> LoadView:
         return self.loads.view(is_settled=True, knows_zones=knows_zones)
@@ -53,8 +62,8 @@
         load=12.34,
         zone_loads=(ZoneLoad('x', 5.0), ZoneLoad('y', 0.0)),
     )
-    back = decode_beat(encode_beat(beat))
-    assert isinstance(back, Beat)
+    back = decode_heartbeat(encode_heartbeat(beat))
+    assert isinstance(back, HeartbeatDatagram)
     assert back.load == pytest.approx(12.3)
     assert back.zone_loads == beat.zone_loads
 
@@ -116,7 +125,7 @@
     assert host.view(knows_zones=False).zones == dict.fromkeys('zyx', 8.0)
     assert host.view().zones == {'z': 8.0, 'y': 8.0}
     # By now it would have been told.
-    host.clock.now += TOLD_SECONDS + 0.1
+    host.clock.now += ZONE_REPORTS_SECONDS + 0.1
     assert host.view().zones == {'z': 8.0}
 
 
@@ -125,14 +134,14 @@
     host.members.load = 8.0
     host.hear('b', 'z', 2.0, ZoneLoad('x', 5.0))
     host.hear('far', 'y', 3.0, ZoneLoad('y', 20.0))
-    assert host.loads.told(to_others=True) == (ZoneLoad('z', 10.0),)
+    assert host.loads.reported(to_others=True) == (ZoneLoad('z', 10.0),)
     # What it was told in its own zone, others there were told as well.
-    assert host.loads.told(to_others=False) == (ZoneLoad('y', 20.0),)
+    assert host.loads.reported(to_others=False) == (ZoneLoad('y', 20.0),)
     assert host.view().zones['x'] == 5.0
     # Its own word goes before what others pass on.
     host.hear('b', 'z', 2.0, ZoneLoad('y', 99.0), number=2)
     assert host.view().zones['y'] == 20.0
-    assert Fixture(is_needed=False).loads.told(to_others=True) == ()
+    assert Fixture(is_needed=False).loads.reported(to_others=True) == ()
 
 
 def test_many_zones_take_turns() -> None:
@@ -142,7 +151,7 @@
         host.hear(name, name, 1.0, ZoneLoad(name, 1.0))
     told: list[str] = []
     for _ in range(4):
-        loads = host.loads.told(to_others=False)
-        assert len(loads) == MOST_TOLD
+        loads = host.loads.reported(to_others=False)
+        assert len(loads) == MAX_REPORTED_ZONES
         told.extend(one.zone for one in loads)
     assert set(told) == set(names)
--- a/tests/unit/test_fleet_shares.py
+++ b/tests/unit/test_fleet_shares.py
@@ -24,7 +24,7 @@
 )
 from wardstair.decisions.sentinels import Watcher, choose_sentinels
 from wardstair.decisions.split import TOLERANCE, SplitTally
-from wardstair.fleet.beats import PeerName
+from wardstair.fleet.heartbeats import PeerName
 from wardstair.fleet.members import GONE_SECONDS, Members
 from wardstair.gateway.host import GatewayHost
 
--- a/tests/unit/test_joining.py
+++ b/tests/unit/test_joining.py
@@ -9,7 +9,7 @@
 from lib.revisions import at
 from lib.wire import Wire, zone_hosts
 
-from wardstair.fleet.beats import Versions
+from wardstair.fleet.heartbeats import Versions
 from wardstair.fleet.members import (
     FORGOTTEN_SECONDS,
     SILENT_SECONDS,
--- a/tests/unit/test_news.py
+++ b/tests/unit/test_news.py
@@ -11,7 +11,7 @@
 from lib.upstreams import ENTRY, Clock
 
 from wardstair.decisions.timing import timing_for
-from wardstair.fleet.beats import Versions
+from wardstair.fleet.heartbeats import Versions
 from wardstair.state.belief import Belief
 from wardstair.state.catalog import Catalog
 from wardstair.state.contact import StoreContact
--- a/tests/unit/test_peer_forwarding.py
+++ b/tests/unit/test_peer_forwarding.py
@@ -11,9 +11,9 @@
     choose_peer,
 )
 from wardstair.decisions.reach import ALL, service_group
-from wardstair.fleet.relaying import (
-    RelayedAnswer,
-    RelayedRequest,
+from wardstair.fleet.peer_requests import (
+    PeerAnswer,
+    PeerRequest,
     decode_answer,
     decode_request,
     encode_answer,
@@ -102,7 +102,7 @@
     assert max(forwarded.values()) - min(forwarded.values()) <= 10
 
 
-REQUEST = RelayedRequest(
+REQUEST = PeerRequest(
     request_id='r1',
     method='POST',
     target='/order/x?y=%20',
@@ -117,7 +117,7 @@
     sends=1,
     tried=('i-1',),
 )
-ANSWER = RelayedAnswer(
+ANSWER = PeerAnswer(
     status=503,
     reason='Service Unavailable',
     headers=(('Retry-After', '0.10'),),
--- a/tests/unit/test_relays.py
+++ b/tests/unit/test_relays.py
@@ -13,15 +13,15 @@
 
 from wardstair.decisions.relays import RelayCandidate, choose_relays
 from wardstair.decisions.timing import LEAST_REPLACED_SECONDS
-from wardstair.fleet.beats import (
-    Beat,
-    BeatKind,
+from wardstair.fleet.heartbeat_endpoint import FAR_TARGETS, HeartbeatEndpoint
+from wardstair.fleet.heartbeats import (
+    HeartbeatDatagram,
+    HeartbeatKind,
     Versions,
-    decode_beat,
-    encode_beat,
+    decode_heartbeat,
+    encode_heartbeat,
 )
 from wardstair.fleet.members import SILENT_SECONDS, Members
-from wardstair.fleet.radio import FAR_TARGETS, Radio
 
 
 @given(
@@ -164,21 +164,21 @@
 def test_a_datagram_is_decoded_as_it_was_encoded() -> None:
     beat = beat_of(
         peer_of('a'),
-        kind=BeatKind.redirect,
+        kind=HeartbeatKind.redirect,
         zone_size=3,
         fleet_size=40,
         versions=Versions(3, at(4), at(5)),
         named=(peer_of('b'), peer_of('c')),
     )
-    assert decode_beat(encode_beat(beat)) == beat
+    assert decode_heartbeat(encode_heartbeat(beat)) == beat
 
 
 def test_an_answer_to_a_newcomer_names_hosts_of_its_zone_first() -> None:
-    answers: list[Beat] = []
+    answers: list[HeartbeatDatagram] = []
 
-    class Answering(Radio):
+    class Answering(HeartbeatEndpoint):
         def _send_bytes(self, address: str, datagram: bytes) -> None:
-            beat = decode_beat(datagram)
+            beat = decode_heartbeat(datagram)
             assert beat is not None
             answers.append(beat)
 
@@ -186,7 +186,7 @@
     wanted = [peer_of(f'far-{number}', 'y') for number in range(3)]
     members.learn([*wanted, *[peer_of(f'b{number}') for number in range(40)]])
     radio = Answering(members, 1, Versions, Random(1))
-    hello = beat_of(peer_of('new', 'y'), kind=BeatKind.hello)
-    radio.datagram_received(encode_beat(hello), ('new', 1))
+    hello = beat_of(peer_of('new', 'y'), kind=HeartbeatKind.hello)
+    radio.datagram_received(encode_heartbeat(hello), ('new', 1))
     (answer,) = answers
     assert {*wanted} <= {*answer.named}
--- a/tests/unit/test_sentinels.py
+++ b/tests/unit/test_sentinels.py
@@ -7,7 +7,7 @@
 from lib.beats import beat_of, peer_of
 
 from wardstair.decisions.timing import timing_for
-from wardstair.fleet.beats import decode_beat, encode_beat
+from wardstair.fleet.heartbeats import decode_heartbeat, encode_heartbeat
 from wardstair.fleet.members import Members
 from wardstair.state.contact import StoreContact
 
@@ -37,13 +37,15 @@
     def rank(self) -> int | None:
         return self.members.sentinel_rank(self.regions, takes_part=True)
 
-    def hear_all(self, number: int, *, is_doubting: bool = False) -> None:
+    def hear_all(
+        self, number: int, *, is_contact_suspect: bool = False
+    ) -> None:
         for peer in self.peers:
             beat = beat_of(
                 peer,
                 number,
                 is_sentinel=True,
-                is_doubting=is_doubting,
+                is_contact_suspect=is_contact_suspect,
             )
             self.members.hear(beat)
 
@@ -64,7 +66,7 @@
 
 def test_sentinels_that_doubt_their_contact_are_replaced_at_once() -> None:
     fleet = follower()
-    fleet.hear_all(2, is_doubting=True)
+    fleet.hear_all(2, is_contact_suspect=True)
     assert fleet.rank is not None
     fleet.hear_all(3)
     assert fleet.rank is None
@@ -79,11 +81,13 @@
 def test_a_doubt_renews_the_watches_of_those_who_hear_of_it() -> None:
     fleet = _Fleet()
     renewed: list[float] = []
-    fleet.members.on_doubt = lambda: renewed.append(fleet.now)
+    fleet.members.on_suspect = lambda: renewed.append(fleet.now)
     doubting = fleet.peers[2]
     for number in (2, 3):
-        beat = beat_of(doubting, number, is_sentinel=True, is_doubting=True)
-        told = decode_beat(encode_beat(beat))
+        beat = beat_of(
+            doubting, number, is_sentinel=True, is_contact_suspect=True
+        )
+        told = decode_heartbeat(encode_heartbeat(beat))
         assert told is not None
         fleet.members.hear(told)
     assert len(renewed) == 1
--- a/tests/unit/test_sharing.py
+++ b/tests/unit/test_sharing.py
@@ -3,7 +3,7 @@
 import pytest
 from lib.revisions import at
 
-from wardstair.fleet.beats import Versions
+from wardstair.fleet.heartbeats import Versions
 from wardstair.fleet.sharing import decode_versions, encode_versions
 
 
--- a/tests/unit/test_timing.py
+++ b/tests/unit/test_timing.py
@@ -4,8 +4,8 @@
 from lib.rig import gateway_settings
 
 from wardstair.decisions.timing import KEPT_SHARE, chains_for, timing_for
+from wardstair.fleet.heartbeat_endpoint import HEARTBEAT_SECONDS, JITTER
 from wardstair.fleet.members import SILENT_SECONDS
-from wardstair.fleet.radio import BEAT_SECONDS, JITTER
 from wardstair.gateway.settings import Bounds
 from wardstair.state.exchange import GRACE_SECONDS
 from wardstair.state.sync import LAG_SECONDS
@@ -73,7 +73,7 @@
     timing = timing_for(news, 4.0)
     missed = timing.watch + LAG_SECONDS + timing.pause + SPREAD_SECONDS
     assert missed < news
-    lost_heartbeat = BEAT_SECONDS * (1 + JITTER)
+    lost_heartbeat = HEARTBEAT_SECONDS * (1 + JITTER)
     assert timing.pause + SPREAD_SECONDS + lost_heartbeat < max(news, 2.5)
     assert timing.replaced <= max(news, lost_heartbeat * 1.5)
 
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize('news', [0.5, 2.5, 60.0])
 def test_one_lost_heartbeat_replaces_nobody(news: float) -> None:
     replaced = timing_for(news, 4.0).replaced
-    assert BEAT_SECONDS * (1 + JITTER) < replaced < SILENT_SECONDS
+    assert HEARTBEAT_SECONDS * (1 + JITTER) < replaced < SILENT_SECONDS
 
 
 @pytest.mark.parametrize(
