--- a/src/wardstair/fleet/member.py
+++ b/src/wardstair/fleet/member.py
@@ -53,24 +53,24 @@
     was_live: bool = False
     lost: frozenset[str] = frozenset()
 
-    def update(self, beat: HeartbeatDatagram, now: float) -> None:
+    def update(self, heartbeat: HeartbeatDatagram, now: float) -> None:
         """Update the state from a heartbeat."""
-        self.peer = beat.sender
+        self.peer = heartbeat.sender
         self.heard_at = now
         self.confirmed_at = now
-        self.run = beat.run
-        self.number = beat.number
-        self.hears_store = beat.hears_store
-        self.is_sentinel = beat.is_sentinel
-        self.is_contact_suspect = beat.is_contact_suspect
-        self.is_busy = beat.is_busy
-        self.is_relay = beat.is_relay
-        self.zone_size = beat.zone_size
-        self.fleet_size = beat.fleet_size
-        self.versions = beat.versions
-        self.load = beat.load
-        self.lost = frozenset(beat.lost)
+        self.run = heartbeat.run
+        self.number = heartbeat.number
+        self.hears_store = heartbeat.hears_store
+        self.is_sentinel = heartbeat.is_sentinel
+        self.is_contact_suspect = heartbeat.is_contact_suspect
+        self.is_busy = heartbeat.is_busy
+        self.is_relay = heartbeat.is_relay
+        self.zone_size = heartbeat.zone_size
+        self.fleet_size = heartbeat.fleet_size
+        self.versions = heartbeat.versions
+        self.load = heartbeat.load
+        self.lost = frozenset(heartbeat.lost)
         self.contact = None
-        if beat.contact is not None:
-            age = beat.contact
+        if heartbeat.contact is not None:
+            age = heartbeat.contact
             self.contact = ContactPeriod(now - age.begin, now - age.proof)
