--- a/src/wardstair/fleet/relaying.py
+++ b/src/wardstair/fleet/peer_requests.py
@@ -1,7 +1,7 @@
-"""A request that one entry host hands on to another, in CBOR.
+"""Encoding of requests that an entry host forwards to a peer, in CBOR.
 
-The first host has authorised it and counted it against the quota; what it has
-tried counts for both.
+The first host has authorised the request and counted it against the quota. Its
+attempts count towards the limits of both hosts.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 import cbor2
 
 _FORMAT = 1
-_UNREADABLE = (
+_DECODE_ERRORS = (
     cbor2.CBORDecodeError,
     ValueError,
     TypeError,
@@ -21,23 +21,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayedRequest:
-    """A request on its way through two entry hosts.
+class PeerRequest:
+    """A request that one entry host forwards to another.
 
     Attributes:
-        request_id: The caller's name for this try.
+        request_id: Identifies this attempt of the caller.
         method: HTTP method.
-        target: Path and query, as sent.
-        host: Host name, lower case, without a port.
-        key: What it concerns, or None.
-        headers: Headers that go on to an upstream.
-        body: The whole body.
-        seconds: How long its caller still waits.
-        organisation: Name of the organisation that makes it; empty if unknown.
-        service: The service chosen for it.
-        version: Version of the configuration that it was routed by.
-        sends: Upstreams that it was sent to.
-        tried: Names of upstreams that it must not go to again.
+        target: Path and query as received.
+        host: Host name in lower case, without a port.
+        key: Affinity key, or None.
+        headers: Headers to be forwarded to an upstream.
+        body: The complete body.
+        seconds: Time in seconds for which the caller still waits.
+        organisation: Name of the caller's organisation; empty if unknown.
+        service: Service to which it was routed.
+        version: Version of the configuration that routed it.
+        sends: Number of upstreams that it was sent to.
+        tried: Names of upstreams that must not receive it again.
     """
 
     request_id: str
@@ -56,15 +56,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayedAnswer:
-    """What became of it.
+class PeerAnswer:
+    """The answer of the second host.
 
     Attributes:
         status: Status code.
         reason: Reason phrase.
-        headers: Headers without the length.
+        headers: Headers without the content length.
         body: The body.
-        is_own: Whether it is the second host's own answer, not an upstream's.
+        is_own: Whether the second host itself answered, not an upstream.
         lost: Groups of upstreams that the second host does not reach.
     """
 
@@ -76,35 +76,35 @@
     lost: tuple[str, ...] = ()
 
 
-def encode_request(relayed: RelayedRequest) -> bytes:
+def encode_request(request: PeerRequest) -> bytes:
     """Encode a request."""
     return cbor2.dumps(
         [
             _FORMAT,
-            relayed.request_id,
-            relayed.method,
-            relayed.target,
-            relayed.host,
-            relayed.key,
-            relayed.headers,
-            relayed.body,
-            relayed.seconds,
-            relayed.organisation,
-            relayed.service,
-            relayed.version,
-            relayed.sends,
-            relayed.tried,
+            request.request_id,
+            request.method,
+            request.target,
+            request.host,
+            request.key,
+            request.headers,
+            request.body,
+            request.seconds,
+            request.organisation,
+            request.service,
+            request.version,
+            request.sends,
+            request.tried,
         ],
     )
 
 
-def decode_request(document: bytes) -> RelayedRequest | None:
-    """Decode a request; None if it is none of this format."""
+def decode_request(document: bytes) -> PeerRequest | None:
+    """Decode a request; return None if it is not valid."""
     try:
         row = cbor2.loads(document)
         if row[0] != _FORMAT:
             return None
-        return RelayedRequest(
+        return PeerRequest(
             request_id=str(row[1]),
             method=str(row[2]),
             target=str(row[3]),
@@ -119,11 +119,11 @@
             sends=int(row[12]),
             tried=tuple(str(name) for name in row[13]),
         )
-    except _UNREADABLE:
+    except _DECODE_ERRORS:
         return None
 
 
-def encode_answer(answer: RelayedAnswer) -> bytes:
+def encode_answer(answer: PeerAnswer) -> bytes:
     """Encode an answer."""
     return cbor2.dumps(
         [
@@ -138,13 +138,13 @@
     )
 
 
-def decode_answer(document: bytes) -> RelayedAnswer | None:
-    """Decode an answer; None if it is none of this format."""
+def decode_answer(document: bytes) -> PeerAnswer | None:
+    """Decode an answer; return None if it is not valid."""
     try:
         row = cbor2.loads(document)
         if row[0] != _FORMAT:
             return None
-        return RelayedAnswer(
+        return PeerAnswer(
             status=int(row[1]),
             reason=str(row[2]),
             headers=_pairs(row[3]),
@@ -152,7 +152,7 @@
             is_own=bool(row[5]),
             lost=tuple(str(group) for group in row[6]),
         )
-    except _UNREADABLE:
+    except _DECODE_ERRORS:
         return None
 
 
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -23,7 +23,7 @@
     ResendLimit,
     host_limit,
 )
-from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
+from wardstair.fleet.peer_requests import PeerAnswer, PeerRequest
 from wardstair.gateway import refusals
 from wardstair.gateway.admission import Admission
 from wardstair.gateway.choosing import Chooser, Placement, UpstreamQuery
@@ -151,8 +151,8 @@
 
     async def serve_peer_request(
         self,
-        relayed: RelayedRequest,
-    ) -> RelayedAnswer:
+        relayed: PeerRequest,
+    ) -> PeerAnswer:
         """Return the answer to a request that another host has forwarded.
 
         That host has authorised it and counted it against the quota. It is not
@@ -198,7 +198,7 @@
 
     def _begin_peer_request(
         self,
-        relayed: RelayedRequest,
+        relayed: PeerRequest,
     ) -> RequestProgress | None:
         """Start a peer's request; return None if its state is missing here."""
         steering = self._local_state.steering
@@ -545,7 +545,7 @@
         self._reporter.forwarded(progress.history, outcome)
         match outcome:
             case HopOutcome(
-                end=HopEnd.answered, answer=RelayedAnswer() as answered
+                end=HopEnd.answered, answer=PeerAnswer() as answered
             ):
                 progress.is_ended = True
                 return reply_of(answered)
@@ -571,7 +571,7 @@
                 return self._resend(progress, ResendReason.lost)
             case HopOutcome(end=HopEnd.refused) if progress.may_have_run:
                 return self._give_up(progress)
-            case HopOutcome(end=end, answer=RelayedAnswer() as refused):
+            case HopOutcome(end=end, answer=PeerAnswer() as refused):
                 progress.is_ended = True
                 if end is HopEnd.refused:
                     self._admission.give_back(progress.organisation)
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -12,14 +12,14 @@
 from wardstair.decisions.processor_pressure import ProcessorPressure
 from wardstair.decisions.reachability import probe_times
 from wardstair.decisions.state_age import RefreshTimes, refresh_times
-from wardstair.fleet.beats import Beat, PeerName
 from wardstair.fleet.demand import DemandTable
-from wardstair.fleet.demand_radio import DemandRadio
+from wardstair.fleet.demand_endpoint import DemandEndpoint
+from wardstair.fleet.heartbeat_endpoint import HeartbeatEndpoint
+from wardstair.fleet.heartbeats import HeartbeatDatagram, PeerName
 from wardstair.fleet.loads import FleetLoads
 from wardstair.fleet.members import Members
 from wardstair.fleet.naming import ENOUGH_HOSTS
-from wardstair.fleet.radio import Radio
-from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
+from wardstair.fleet.peer_requests import PeerAnswer, PeerRequest
 from wardstair.gateway.admission import Admission
 from wardstair.gateway.announcing import ChangeAnnouncer
 from wardstair.gateway.authorising import Authoriser
@@ -146,11 +146,11 @@
             self.live_settings.current.timing.sentinel_silence
         )
         self.members.is_sentinel = lambda: self.is_sentinel
-        self.members.is_doubting = lambda: self.contact.is_suspect
-        self.members.on_doubt = self.contact.renew_watches
+        self.members.is_contact_suspect = lambda: self.contact.is_suspect
+        self.members.on_suspect = self.contact.renew_watches
         self.members.own_contact = lambda: self.contact.contact_period
         self.contact.others = self.members.contacts
-        self.radio = Radio(
+        self.radio = HeartbeatEndpoint(
             self.members,
             settings.fleet_ports[0],
             lambda: self.local_state.versions,
@@ -167,7 +167,7 @@
         )
         self._role_log = RoleLog(roles)
         self.radio.state_age = lambda: self.local_state.age.reportable
-        self.local_state.age.on_fresh = self.radio.tell_age
+        self.local_state.age.on_fresh = self.radio.announce_age
         self.sync = StoreSync(
             self.store,
             self.contact,
@@ -183,7 +183,7 @@
             settings.zone,
             lambda: self.live_settings.current.timing,
         )
-        self.radio.on_beat = self._on_heartbeat
+        self.radio.on_heartbeat = self._on_heartbeat
         self.radio.on_state = self.exchange.receive_datagram
         self._updates = UpdateSender(
             self.radio,
@@ -240,13 +240,15 @@
             lambda: self.live_settings.current.zones,
             lambda: not self.chooser.limited_sends.is_idle,
         )
-        self.radio.zone_loads = self.loads.told
-        self._suspect_announcer = ChangeAnnouncer(self.radio.send_beats)
+        self.radio.zone_loads = self.loads.reported
+        self._suspect_announcer = ChangeAnnouncer(self.radio.send_heartbeats)
         self._limit_announcer = ChangeAnnouncer(
-            self.radio.send_beats,
+            self.radio.send_heartbeats,
             LIMIT_ANNOUNCE_INTERVAL_SECONDS,
         )
-        self._reachability_announcer = ChangeAnnouncer(self.radio.send_beats)
+        self._reachability_announcer = ChangeAnnouncer(
+            self.radio.send_heartbeats
+        )
         self.local_state.limits.on_change = self._on_limits_changed
         self._incarnations = IncarnationEvents(
             self.local_state,
@@ -275,7 +277,7 @@
                 self.quotas.own_refused,
             )
         )
-        self.demand_radio = DemandRadio(
+        self.demand_radio = DemandEndpoint(
             self.members,
             self.quotas.table,
             settings.fleet_ports[0] + DEMAND_PORT_OFFSET,
@@ -369,7 +371,7 @@
         spawn('contact', self.sync.probe_contact)
         spawn('registration', self.registration.run)
         spawn('heartbeats', lambda: self.radio.run(seeds))
-        spawn('sentinel-heartbeats', self.radio.run_closely)
+        spawn('sentinel-heartbeats', self.radio.run_sentinel)
         spawn('demand', self.demand_radio.run)
         spawn('sweep', self._sweep)
         spawn('state-age', self.refresher.run)
@@ -394,7 +396,7 @@
         self.callers.is_stopping = True
         self.directory.is_leaving = True
         self.members.is_leaving = True
-        self.radio.send_beats()
+        self.radio.send_heartbeats()
         log_event('host-stopping', open=self.callers.open_count)
         await asyncio.sleep(LINGER_SECONDS)
         self._listeners.stop_callers()
@@ -536,8 +538,8 @@
         await self.registration.check_for_restore()
         await self._run_when_ready(self.sync.upstreams)()
 
-    def _on_heartbeat(self, beat: Beat) -> None:
-        self.loads.take_in(beat)
+    def _on_heartbeat(self, beat: HeartbeatDatagram) -> None:
+        self.loads.record(beat)
         self.exchange.on_heartbeat(beat)
 
     def _on_limits_changed(self) -> None:
@@ -555,9 +557,7 @@
             self.loads.note_request()
         return await self.forwarder.serve(inbound)
 
-    async def _serve_peer_request(
-        self, relayed: RelayedRequest
-    ) -> RelayedAnswer:
+    async def _serve_peer_request(self, relayed: PeerRequest) -> PeerAnswer:
         self.loads.note_request()
         return await self.forwarder.serve_peer_request(relayed)
 
@@ -582,7 +582,7 @@
         While it is uncertain, other hosts watch the store in its place.
         """
         if self.is_sentinel:
-            self.radio.send_beats()
+            self.radio.send_heartbeats()
 
     def _keeps_connections(self, name: str) -> bool:
         upstream = self.local_state.catalog.upstreams.get(name)
--- a/src/wardstair/gateway/peer_forwarding.py
+++ b/src/wardstair/gateway/peer_forwarding.py
@@ -23,9 +23,9 @@
 )
 from wardstair.decisions.reachability import ALL, service_group
 from wardstair.fleet.members import Members
-from wardstair.fleet.relaying import (
-    RelayedAnswer,
-    RelayedRequest,
+from wardstair.fleet.peer_requests import (
+    PeerAnswer,
+    PeerRequest,
     decode_answer,
     encode_request,
 )
@@ -74,7 +74,7 @@
 
     end: HopEnd
     host: str = ''
-    answer: RelayedAnswer | None = None
+    answer: PeerAnswer | None = None
     seconds: float = 0.0
 
 
@@ -137,7 +137,7 @@
 
     async def send(
         self,
-        make_request: Callable[[], RelayedRequest],
+        make_request: Callable[[], PeerRequest],
         regions: frozenset[str],
     ) -> HopOutcome:
         """Forward a request and wait for the outcome.
@@ -193,7 +193,7 @@
     async def _try_peer(
         self,
         peer: PeerCandidate,
-        make_request: Callable[[], RelayedRequest],
+        make_request: Callable[[], PeerRequest],
     ) -> HopOutcome:
         started = time.monotonic()
         connection = await self._connection(peer.name)
@@ -228,8 +228,8 @@
         self,
         name: str,
         connection: UpstreamConnection,
-        request: RelayedRequest,
-    ) -> RelayedAnswer | None:
+        request: PeerRequest,
+    ) -> PeerAnswer | None:
         body = encode_request(request)
         exchange = connection.send(
             _encode_head(len(body)),
@@ -256,7 +256,7 @@
             self._listed_at = float('-inf')
 
 
-def _end_of(answer: RelayedAnswer) -> HopEnd:
+def _end_of(answer: PeerAnswer) -> HopEnd:
     if not answer.is_own:
         return HopEnd.answered
     if answer.status in _NOT_RUN:
--- a/src/wardstair/gateway/peer_messages.py
+++ b/src/wardstair/gateway/peer_messages.py
@@ -2,13 +2,13 @@
 
 import time
 
-from wardstair.fleet.relaying import RelayedAnswer, RelayedRequest
+from wardstair.fleet.peer_requests import PeerAnswer, PeerRequest
 from wardstair.gateway.messages import Inbound, Reply
 from wardstair.gateway.refusals import Refusal
 from wardstair.gateway.request_progress import RequestProgress
 
 
-def inbound_of(relayed: RelayedRequest) -> Inbound:
+def inbound_of(relayed: PeerRequest) -> Inbound:
     """Return the inbound request for one that a peer has forwarded."""
     return Inbound(
         request_id=relayed.request_id,
@@ -25,10 +25,10 @@
     )
 
 
-def peer_request_of(progress: RequestProgress) -> RelayedRequest:
+def peer_request_of(progress: RequestProgress) -> PeerRequest:
     """Return a request as it is forwarded to a peer now."""
     inbound = progress.inbound
-    return RelayedRequest(
+    return PeerRequest(
         request_id=inbound.request_id,
         method=inbound.method,
         target=inbound.target,
@@ -45,14 +45,14 @@
     )
 
 
-def peer_answer_of(reply: Reply, lost: frozenset[str]) -> RelayedAnswer:
+def peer_answer_of(reply: Reply, lost: frozenset[str]) -> PeerAnswer:
     """Return the answer to the peer that forwarded the request.
 
     Args:
         reply: The reply.
         lost: Groups of upstreams that this host cannot reach.
     """
-    return RelayedAnswer(
+    return PeerAnswer(
         reply.status,
         reply.reason,
         reply.headers,
@@ -62,7 +62,7 @@
     )
 
 
-def reply_of(answer: RelayedAnswer) -> Reply:
+def reply_of(answer: PeerAnswer) -> Reply:
     """Return the reply to a caller whose request a peer has answered."""
     return Reply(
         answer.status,
@@ -75,9 +75,9 @@
 
 def peer_refusal(
     refusal: Refusal,
-    relayed: RelayedRequest,
+    relayed: PeerRequest,
     lost: frozenset[str] = frozenset(),
-) -> RelayedAnswer:
+) -> PeerAnswer:
     """Return the answer that refuses a request of a peer.
 
     Args:
--- a/src/wardstair/gateway/peer_server.py
+++ b/src/wardstair/gateway/peer_server.py
@@ -6,9 +6,9 @@
 
 from tornado.web import RequestHandler
 
-from wardstair.fleet.relaying import (
-    RelayedAnswer,
-    RelayedRequest,
+from wardstair.fleet.peer_requests import (
+    PeerAnswer,
+    PeerRequest,
     decode_request,
     encode_answer,
 )
@@ -18,7 +18,7 @@
 
 # Returns the answer to a request; cancelled if the peer that forwarded it gives
 # up.
-ServePeerRequest = Callable[[RelayedRequest], Awaitable[RelayedAnswer]]
+ServePeerRequest = Callable[[PeerRequest], Awaitable[PeerAnswer]]
 
 
 class PeerRequestServer:
@@ -44,7 +44,7 @@
         self._is_idle = asyncio.Event()
         self._is_idle.set()
 
-    async def serve(self, relayed: RelayedRequest) -> RelayedAnswer:
+    async def serve(self, relayed: PeerRequest) -> PeerAnswer:
         """Serve a request, or refuse it."""
         size = len(relayed.body)
         if self.is_stopping or not self._bodies.reserve(size):
@@ -81,7 +81,7 @@
             server: Serves the requests.
         """
         self._server = server
-        self._serving: asyncio.Task[RelayedAnswer] | None = None
+        self._serving: asyncio.Task[PeerAnswer] | None = None
 
     async def post(self) -> None:
         """Serve the request and send its answer."""
--- a/src/wardstair/gateway/sending.py
+++ b/src/wardstair/gateway/sending.py
@@ -6,7 +6,7 @@
 
 from wardstair.connection.pool import (
     CONNECTION_LIMIT,
-    LEAST_FORGOTTEN_SECONDS,
+    MIN_DROPPED_IDLE_SECONDS,
     ConnectFailed,
     UpstreamPool,
 )
@@ -148,7 +148,7 @@
         """
         return self._local_state.reachability.may_open(
             upstream.entry,
-        ) or self._pool.has_resting(upstream.name, is_once=is_once)
+        ) or self._pool.has_idle(upstream.name, is_once=is_once)
 
     async def send(
         self,
@@ -208,7 +208,7 @@
             connection.close()
             return Withheld()
         started = time.monotonic()
-        idle_seconds = started - connection.rested_at
+        idle_seconds = started - connection.idle_since
         is_new = not connection.has_served
         if started >= until:
             self._pool.give_back(upstream.name, connection)
@@ -249,18 +249,18 @@
                 is_forgotten = (
                     reason in _STALE_CONNECTION_REASONS
                     and connection.has_served
-                    and idle_seconds >= LEAST_FORGOTTEN_SECONDS
+                    and idle_seconds >= MIN_DROPPED_IDLE_SECONDS
                 )
                 if is_forgotten:
-                    forgetfulness = self._pool.forgetfulness
-                    forgetfulness.note(upstream.name, idle_seconds, started)
+                    idle_drops = self._pool.idle_drops
+                    idle_drops.note(upstream.name, idle_seconds, started)
                 return Lost(reason, is_forgotten)
             case RawAnswer() as answer:
                 self._record_answered(upstream, is_new=is_new)
                 seconds = time.monotonic() - started
                 fields = decode_upstream(answer.headers)
                 if fields.keep_seconds is not None:
-                    connection.keep_seconds = fields.keep_seconds
+                    connection.keep_alive_seconds = fields.keep_seconds
                 self._pool.give_back(upstream.name, connection)
                 outcome = _classify(answer, fields, seconds)
                 if _is_from(upstream, outcome):
--- a/src/wardstair/gateway/updates.py
+++ b/src/wardstair/gateway/updates.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from wardstair.decisions.timing import Timing
-from wardstair.fleet.radio import Radio
+from wardstair.fleet.heartbeat_endpoint import HeartbeatEndpoint
 from wardstair.state.exchange import StateExchange, StateUpdate
 from wardstair.state.roles import Roles
 
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        radio: Radio,
+        radio: HeartbeatEndpoint,
         exchange: StateExchange,
         roles: Roles,
         timing: Callable[[], Timing],
@@ -46,7 +46,7 @@
         if update is None:
             # Other hosts may lack state that hosts merge. The regular
             # heartbeats repeat this one.
-            self._radio.send_beats()
+            self._radio.send_heartbeats()
             return
         self._send(update)
         self.close()
@@ -65,4 +65,4 @@
         if update.state is not None:
             is_sentinel = self._roles.is_sentinel()
             self._radio.send_state(update.state, to_others=is_sentinel)
-        self._radio.send_beats()
+        self._radio.send_heartbeats()
--- a/src/wardstair/state/exchange.py
+++ b/src/wardstair/state/exchange.py
@@ -23,7 +23,7 @@
 from wardstair.decisions.state_age import transit_seconds
 from wardstair.decisions.suspicion import Evidence
 from wardstair.decisions.timing import Timing
-from wardstair.fleet.beats import Beat, Versions
+from wardstair.fleet.heartbeats import HeartbeatDatagram, Versions
 from wardstair.fleet.sharing import (
     SharedConfiguration,
     SharedEvacuations,
@@ -157,9 +157,9 @@
         self._timing = timing
         self._encoder = StateEncoder()
         # The last heartbeat of each host that is ahead, oldest first.
-        self._ahead: dict[str, Beat] = {}
+        self._ahead: dict[str, HeartbeatDatagram] = {}
         # The same for hosts that are not ahead but report a different digest.
-        self._differing: dict[str, Beat] = {}
+        self._differing: dict[str, HeartbeatDatagram] = {}
         # Digests of the peer and of this host at their last comparison.
         self._compared: dict[str, tuple[_Digests, _Digests]] = {}
         self._compared_at = float('-inf')
@@ -283,7 +283,7 @@
         # Changes that start after this host's revision would leave a gap.
         return upstreams.since <= own.upstreams
 
-    def on_heartbeat(self, heartbeat: Beat) -> None:
+    def on_heartbeat(self, heartbeat: HeartbeatDatagram) -> None:
         """Record the age of a peer's state and fetch what this host lacks."""
         if heartbeat.state_age is not None and not self._is_behind(
             heartbeat.versions
@@ -298,7 +298,7 @@
         self._classify(heartbeat)
         self._start_fetching()
 
-    def _classify(self, heartbeat: Beat) -> None:
+    def _classify(self, heartbeat: HeartbeatDatagram) -> None:
         """Keep a heartbeat if its sender has state that this host lacks."""
         name = heartbeat.sender.name
         self._ahead.pop(name, None)
@@ -315,7 +315,7 @@
         if self._differing and _is_over(self._compare_task):
             self._compare_task = asyncio.ensure_future(self._compare())
 
-    def _differs(self, heartbeat: Beat) -> bool:
+    def _differs(self, heartbeat: HeartbeatDatagram) -> bool:
         """Return whether a host may have table entries that this one lacks.
 
         Tables that are full or of different age may never become equal. A host
@@ -357,7 +357,9 @@
             if await self._fetch_next(self._differing, _MAX_COMPARISONS):
                 self._keep_last_differing()
 
-    def _next_of(self, heard: dict[str, Beat], limit: int) -> Beat | None:
+    def _next_of(
+        self, heard: dict[str, HeartbeatDatagram], limit: int
+    ) -> HeartbeatDatagram | None:
         """Return the heartbeat of the next host to query; None if none is.
 
         Args:
@@ -368,7 +370,9 @@
         name = host_to_query(heard, self._fetches, limit)
         return None if name is None else heard[name]
 
-    async def _fetch_next(self, heard: dict[str, Beat], limit: int) -> bool:
+    async def _fetch_next(
+        self, heard: dict[str, HeartbeatDatagram], limit: int
+    ) -> bool:
         """Fetch from one host; return whether that ended in time."""
         heartbeat = self._next_of(heard, limit)
         if heartbeat is None:
@@ -390,7 +394,7 @@
         for name in tuple(self._differing)[:-1]:
             self._differing.pop(name)
 
-    def _grace_seconds(self, heartbeat: Beat) -> float:
+    def _grace_seconds(self, heartbeat: HeartbeatDatagram) -> float:
         """Return how long to wait for this host's own watch, in seconds."""
         now = asyncio.get_running_loop().time()
         if is_any_overdue(self._late_at.values(), now):
@@ -413,7 +417,7 @@
             return self._roles.is_relay()
         return self._roles.is_sentinel()
 
-    async def _fetch_hedged(self, heartbeat: Beat) -> bool:
+    async def _fetch_hedged(self, heartbeat: HeartbeatDatagram) -> bool:
         """Fetch from a host; return whether that ended before it was late.
 
         A late fetch continues in the background, so that its result is used
@@ -427,7 +431,9 @@
         fetch.result()
         return True
 
-    def _begin_fetch(self, heartbeat: Beat, hedge: float) -> asyncio.Task[None]:
+    def _begin_fetch(
+        self, heartbeat: HeartbeatDatagram, hedge: float
+    ) -> asyncio.Task[None]:
         name = heartbeat.sender.name
         now = asyncio.get_running_loop().time()
         fetch = asyncio.ensure_future(self._fetch_from(heartbeat))
@@ -441,12 +447,12 @@
         self._late_at.pop(name)
         self._start_fetching()
 
-    def _hedge_seconds(self, heartbeat: Beat) -> float:
+    def _hedge_seconds(self, heartbeat: HeartbeatDatagram) -> float:
         is_near = heartbeat.sender.zone == self._zone
         timing = self._timing()
         return timing.near_hedge if is_near else timing.far_hedge
 
-    async def _fetch_from(self, heartbeat: Beat) -> None:
+    async def _fetch_from(self, heartbeat: HeartbeatDatagram) -> None:
         """Fetch from a host and merge its answer."""
         asked_at = asyncio.get_running_loop().time()
         fetched = await self._fetch(heartbeat.sender.address)
--- a/tests/unit/test_sentinels.py
+++ b/tests/unit/test_sentinels.py
@@ -7,7 +7,7 @@
 from lib.beats import beat_of, peer_of
 
 from wardstair.decisions.timing import timing_for
-from wardstair.fleet.beats import decode_beat, encode_beat
+from wardstair.fleet.heartbeats import decode_heartbeat, encode_heartbeat
 from wardstair.fleet.members import Members
 from wardstair.state.contact import StoreContact
 
@@ -37,13 +37,15 @@
     def rank(self) -> int | None:
         return self.members.sentinel_rank(self.regions, takes_part=True)
 
-    def hear_all(self, number: int, *, is_doubting: bool = False) -> None:
+    def hear_all(
+        self, number: int, *, is_contact_suspect: bool = False
+    ) -> None:
         for peer in self.peers:
             beat = beat_of(
                 peer,
                 number,
                 is_sentinel=True,
-                is_doubting=is_doubting,
+                is_contact_suspect=is_contact_suspect,
             )
             self.members.hear(beat)
 
@@ -64,7 +66,7 @@
 
 def test_sentinels_without_sure_contact_are_replaced_at_once() -> None:
     fleet = fleet_of_other_host()
-    fleet.hear_all(2, is_doubting=True)
+    fleet.hear_all(2, is_contact_suspect=True)
     assert fleet.rank is not None
     fleet.hear_all(3)
     assert fleet.rank is None
@@ -79,13 +81,13 @@
 def test_late_watch_of_a_sentinel_renews_watches_once() -> None:
     fleet = _Fleet()
     renewed: list[float] = []
-    fleet.members.on_doubt = lambda: renewed.append(fleet.now)
+    fleet.members.on_suspect = lambda: renewed.append(fleet.now)
     sentinel_peer = fleet.peers[2]
     for number in (2, 3):
         beat = beat_of(
-            sentinel_peer, number, is_sentinel=True, is_doubting=True
+            sentinel_peer, number, is_sentinel=True, is_contact_suspect=True
         )
-        decoded = decode_beat(encode_beat(beat))
+        decoded = decode_heartbeat(encode_heartbeat(beat))
         assert decoded is not None
         fleet.members.hear(decoded)
     assert len(renewed) == 1
--- a/tests/unit/test_timing.py
+++ b/tests/unit/test_timing.py
@@ -8,8 +8,8 @@
     propagation_paths,
     timing_for,
 )
+from wardstair.fleet.heartbeat_endpoint import HEARTBEAT_SECONDS, JITTER
 from wardstair.fleet.members import SILENT_SECONDS
-from wardstair.fleet.radio import BEAT_SECONDS, JITTER
 from wardstair.gateway.settings import Bounds
 from wardstair.state.exchange import GRACE_SECONDS
 from wardstair.state.sync import LAG_SECONDS
@@ -79,7 +79,7 @@
         timing.watch + LAG_SECONDS + timing.coalescing_delay + SPREAD_SECONDS
     )
     assert missed < bound
-    heartbeat_seconds = BEAT_SECONDS * (1 + JITTER)
+    heartbeat_seconds = HEARTBEAT_SECONDS * (1 + JITTER)
     assert timing.coalescing_delay + SPREAD_SECONDS + heartbeat_seconds < max(
         bound, 2.5
     )
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize('bound', [0.5, 2.5, 60.0])
 def test_one_lost_heartbeat_does_not_replace_a_relay(bound: float) -> None:
     replaced = timing_for(bound, 4.0).relay_timeout
-    assert BEAT_SECONDS * (1 + JITTER) < replaced < SILENT_SECONDS
+    assert HEARTBEAT_SECONDS * (1 + JITTER) < replaced < SILENT_SECONDS
 
 
 @pytest.mark.parametrize(
