--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -300,7 +300,7 @@
             and progress.route.is_repeatable
             and len(progress.running) == 1
             and progress.hop is None
-            and progress.sends < progress.route.most_attempts
+            and progress.sends < progress.route.max_attempts
             and not self._is_suspect(progress)
         )
 
@@ -313,7 +313,7 @@
         placement = self._place_connectable(progress)
         if placement is None or not self._take_resend(progress):
             # Do not try to hedge again: wait for the first send.
-            progress.sends = progress.route.most_attempts
+            progress.sends = progress.route.max_attempts
             return
         self._start(progress, placement, ResendReason.silent)
 
@@ -407,7 +407,7 @@
             return self._give_up(progress)
         if progress.is_from_peer and self._should_prefer_peer(progress):
             return self._give_up(progress)
-        if progress.sends >= progress.route.most_attempts:
+        if progress.sends >= progress.route.max_attempts:
             return self._give_up(progress)
         return self._send_next(progress, reason)
 
@@ -525,7 +525,7 @@
 
     def _forward_waiting(self, progress: RequestProgress) -> None:
         progress.reroute_signal = None
-        may_send = progress.sends < progress.route.most_attempts
+        may_send = progress.sends < progress.route.max_attempts
         if not (
             may_send and progress.running and self._should_forward(progress)
         ):
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -467,7 +467,7 @@
         if service is None:
             return MIN_CONNECTIONS
         hosts = self.chooser.view.fleet_size
-        share = service.most_connections * CONNECTION_FRACTION / hosts
+        share = service.max_connections * CONNECTION_FRACTION / hosts
         return max(MIN_CONNECTIONS, int(share))
 
     async def _sweep(self) -> None:
--- a/src/wardstair/platform/objects.py
+++ b/src/wardstair/platform/objects.py
@@ -292,7 +292,7 @@
         name: SteeredService(
             name=name,
             health_path=service.health_path,
-            most_connections=service.max_conns,
+            max_connections=service.max_conns,
             cold_seconds=service.cold_start_s,
             cold_rate=service.cold_per_s,
         )
@@ -310,7 +310,7 @@
         services,
         limits,
         index_routes(routes),
-        gaps=_configuration_gaps(parsed),
+        defaulted_fields=_configuration_gaps(parsed),
         organisations=_organisations(parsed.tenants),
     )
 
@@ -457,7 +457,7 @@
             Repeatability.repeatable if is_repeatable else Repeatability.once
         ),
         shares=shares,
-        most_attempts=route.max_attempts,
+        max_attempts=route.max_attempts,
         timeout=route.timeout_ms / _MILLISECONDS,
         objective=route.target_latency_ms / _MILLISECONDS,
         priority=route.priority,
--- a/src/wardstair/process/loans.py
+++ b/src/wardstair/process/loans.py
@@ -211,7 +211,7 @@
         now = time.monotonic()
         dead = Identity(row.name, previous)
         for name, ledger in self._book.ledgers.items():
-            settle = self._book.resources[name].cut_seconds
+            settle = self._book.resources[name].orphaned_work_seconds
             ledger.forget_borrower(dead, now, settle)
 
     def return_all(self) -> None:
@@ -311,7 +311,9 @@
             return
         held = {other: answers[other] for other in others}
         now = time.monotonic()
-        ledger.resolve(held, now, self._book.resources[name].cut_seconds)
+        ledger.resolve(
+            held, now, self._book.resources[name].orphaned_work_seconds
+        )
         self._reported_holdings.pop(name, None)
 
     def _withdraw(self, request_id: str) -> None:
--- a/src/wardstair/state/local_state.py
+++ b/src/wardstair/state/local_state.py
@@ -144,11 +144,11 @@
             source=source,
             routes=len(steering.routes),
         )
-        if steering.gaps:
+        if steering.defaulted_fields:
             log_warning(
                 'configuration-incomplete',
                 version=steering.version,
-                missing=','.join(steering.gaps),
+                missing=','.join(steering.defaulted_fields),
             )
         self.on_steering()
         return True
--- a/src/wardstair/version/parts.py
+++ b/src/wardstair/version/parts.py
@@ -28,8 +28,8 @@
 from wardstair.errors import Fault
 from wardstair.version.document import SteeringDocument, check_document
 
-ROWS_A_PART = 8192
-ROWS_A_PART_MOST = 4 * ROWS_A_PART
+ROWS_PER_PART = 8192
+MAX_ROWS_PER_PART = 4 * ROWS_PER_PART
 _DIGEST_LETTERS = 32
 _START_BYTES = 4
 _ROW_BYTES = 5
@@ -155,7 +155,7 @@
     for row in range(1, table.size + 1):
         is_last = row == table.size
         is_cut = not is_last and _cuts_before(table.starts[row])
-        if is_last or is_cut or row - first >= ROWS_A_PART_MOST:
+        if is_last or is_cut or row - first >= MAX_ROWS_PER_PART:
             starts = _little(table.starts[first:row])
             sites = table.sites[first:row].tobytes()
             yield zlib.compress(starts + sites, 6)
@@ -195,7 +195,7 @@
 
 def _cuts_before(start: int) -> bool:
     digest = xxh32_intdigest(start.to_bytes(_START_BYTES, 'little'))
-    return digest % ROWS_A_PART == 0
+    return digest % ROWS_PER_PART == 0
 
 
 def _little(starts: 'array[int]') -> bytes:
--- a/src/wardstair/version/resources.py
+++ b/src/wardstair/version/resources.py
@@ -46,7 +46,7 @@
         return settle_seconds(self.hold_seconds)
 
     @property
-    def cut_seconds(self) -> float:
+    def orphaned_work_seconds(self) -> float:
         """Seconds in which an upstream may still work for a dead host."""
         if self.hold_seconds is None:
             # An upload ends when its connection breaks.
--- a/src/wardstair/version/steering.py
+++ b/src/wardstair/version/steering.py
@@ -41,7 +41,7 @@
         prefix: Begin of the paths it covers; begins and ends with a slash.
         repeatability: Whether its requests may run more than once.
         shares: The services that serve it; one unless it is split.
-        most_attempts: Most upstreams that one request is sent to.
+        max_attempts: Most upstreams that one request is sent to.
         timeout: Longest time a request may be held, in seconds.
         objective: Seconds within which an answer is in time.
         priority: Rank; 0 is the most important.
@@ -55,7 +55,7 @@
     prefix: str
     repeatability: Repeatability
     shares: tuple[ServiceShare, ...]
-    most_attempts: int
+    max_attempts: int
     timeout: float
     objective: float
     priority: int
@@ -76,14 +76,14 @@
     Attributes:
         name: Its name.
         health_path: Path of the health check.
-        most_connections: Connections an upstream accepts from all callers.
+        max_connections: Connections an upstream accepts from all callers.
         cold_seconds: How long an upstream is cold after its start.
         cold_rate: Requests a second that a cold upstream bears.
     """
 
     name: str
     health_path: str
-    most_connections: int
+    max_connections: int
     cold_seconds: float
     cold_rate: float
 
@@ -115,7 +115,7 @@
         services: Services by name.
         limits: Limits for callers.
         by_host: Routes of each host name, longest prefix first.
-        gaps: Fields that it leaves out and that have a stand-in.
+        defaulted_fields: Fields that it leaves out and that have a stand-in.
         organisations: Organisations that may make requests; if there are none,
             no API key is needed.
     """
@@ -127,7 +127,7 @@
     by_host: Mapping[str, tuple[SteeredRoute, ...]] = field(
         default_factory=dict,
     )
-    gaps: tuple[str, ...] = ()
+    defaulted_fields: tuple[str, ...] = ()
     organisations: OrganisationTable = field(default_factory=OrganisationTable)
 
     def find_route(self, host: str, path: str) -> SteeredRoute | None:
--- a/tests/lib/routes.py
+++ b/tests/lib/routes.py
@@ -23,7 +23,7 @@
         shares=tuple(
             ServiceShare(service, weight) for service, weight in weights.items()
         ),
-        most_attempts=2,
+        max_attempts=2,
         timeout=2.0,
         objective=0.5,
         priority=1,
--- a/tests/unit/test_objects.py
+++ b/tests/unit/test_objects.py
@@ -44,10 +44,10 @@
     missing: str,
 ) -> None:
     whole = configuration_spec(1)
-    assert not decode_configuration(stored(whole)).gaps
-    assert decode_configuration(stored(without(whole, missing))).gaps == (
-        missing,
-    )
+    assert not decode_configuration(stored(whole)).defaulted_fields
+    assert decode_configuration(
+        stored(without(whole, missing))
+    ).defaulted_fields == (missing,)
 
 
 @pytest.mark.parametrize(
