--- a/src/wardstair/version/__init__.py
+++ b/src/wardstair/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one version of the steering configuration."""
+"""Data that belongs to one version of the steering configuration."""
--- a/src/wardstair/version/document.py
+++ b/src/wardstair/version/document.py
@@ -1,7 +1,7 @@
 """The steering configuration as operators write it, and its checks.
 
-The models here validate at the border; `topology` holds what the rest of the
-program works with.
+The models validate input; the rest of the program works with the classes of
+`topology`, which are derived from them.
 """
 
 import tomllib
@@ -29,7 +29,7 @@
 
 
 class RegionModel(_Model):
-    """A region and the traffic it takes from outside."""
+    """A region and the traffic that it accepts from other regions."""
 
     name: Name
     outside_share: Annotated[float, Field(ge=0, le=1)] = 0.5
@@ -55,7 +55,7 @@
 
 
 class RouteModel(_Model):
-    """Which requests belong to a workload, and whether they repeat."""
+    """Which requests belong to a workload, and whether they may be repeated."""
 
     methods: Annotated[tuple[str, ...], Field(min_length=1)]
     prefix: Annotated[str, Field(pattern='^/')]
@@ -65,8 +65,8 @@
 class WorkloadModel(_Model):
     """A class of requests that the same upstreams serve.
 
-    A workload without a deadline has requests of any length, such as slow
-    uploads; only idleness is limited there.
+    Requests of a workload without a deadline, such as slow uploads, may take
+    any time; only the time without any transfer is limited.
     """
 
     name: Name
@@ -88,14 +88,14 @@
 
 
 class SiteModel(_Model):
-    """A place that client blocks belong to, with its nearest region."""
+    """A location of client address blocks and the region that serves it."""
 
     name: Name
     region: Name
 
 
 class BlockModel(_Model):
-    """A client block and its site."""
+    """A network of client addresses and its site."""
 
     network: IPv4Network
     site: Name
@@ -111,7 +111,7 @@
 
 
 class ShiftModel(_Model):
-    """A move of a workload's traffic between regions, under a cap."""
+    """A move of a workload's traffic between regions, limited by a cap."""
 
     name: Name
     workload: Name
@@ -121,7 +121,7 @@
 
 
 class DrainModel(_Model):
-    """A planned stop of an upstream, host, zone or region."""
+    """An order to drain an upstream, host, zone or region."""
 
     kind: Literal['upstream', 'host', 'zone', 'region']
     name: Name
@@ -151,7 +151,7 @@
         path: The file.
 
     Returns:
-        The document, or every fault found in it.
+        The document, or the faults found in it.
     """
     return read_toml(path).and_then(
         lambda content: check_document(content, str(path)),
@@ -159,14 +159,14 @@
 
 
 def read_toml(path: Path) -> Result[dict[str, object], list[Fault]]:
-    """Read a TOML file, or say why it cannot be read."""
+    """Read a TOML file; return a fault if it cannot be read or parsed."""
     try:
         return Ok(tomllib.loads(path.read_text(encoding='utf-8')))
     except OSError as error:
         hint = 'check the path and its permissions'
         return Err([Fault(str(path), '(file)', str(error.strerror), hint)])
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        hint = 'correct the TOML at that place'
+        hint = 'correct the TOML syntax or the encoding of the file'
         return Err([Fault(str(path), '(file)', str(error), hint)])
 
 
@@ -177,19 +177,19 @@
     """Validate the content of a steering configuration.
 
     Args:
-        content: Mapping as read from TOML or JSON.
-        source: Name to show in faults.
+        content: Mapping parsed from TOML or JSON.
+        source: Name of the source that faults show.
     """
     try:
         document = SteeringDocument.model_validate(content)
     except ValidationError as error:
         return Err(faults_of(error, source))
-    faults = list(_cross_faults(document, source))
+    faults = list(_consistency_faults(document, source))
     return Err(faults) if faults else Ok(document)
 
 
 def faults_of(error: ValidationError, source: str) -> list[Fault]:
-    """Turn the errors of a model into faults that name the remedy."""
+    """Convert validation errors into faults that name the remedy."""
     return [
         Fault(
             source,
@@ -208,17 +208,21 @@
         case 'missing':
             return 'add the key'
         case 'string_pattern_mismatch':
-            return 'write it in the form that the reference page gives'
+            return 'use the format given in the reference page'
         case _:
             return 'give a value of the right type and range'
 
 
-def _cross_faults(document: SteeringDocument, source: str) -> Iterator[Fault]:
-    yield from _duplicates(document, source)
-    yield from _dangling(document, source)
+def _consistency_faults(
+    document: SteeringDocument, source: str
+) -> Iterator[Fault]:
+    yield from _duplicate_faults(document, source)
+    yield from _undefined_reference_faults(document, source)
 
 
-def _duplicates(document: SteeringDocument, source: str) -> Iterator[Fault]:
+def _duplicate_faults(
+    document: SteeringDocument, source: str
+) -> Iterator[Fault]:
     tables = {
         'regions': [region.name for region in document.regions],
         'zones': [zone.name for zone in document.zones],
@@ -232,8 +236,8 @@
     for table, names in tables.items():
         for name, count in Counter(names).items():
             if count > 1:
-                message = f'{name} stands {count} times'
-                yield Fault(source, table, message, 'keep one of them')
+                message = f'{name} is defined {count} times'
+                yield Fault(source, table, message, 'remove the duplicates')
 
 
 @dataclass(frozen=True)
@@ -241,19 +245,21 @@
     """A name in one table that must be defined in another.
 
     Attributes:
-        key: Dotted path of the name, as faults show it.
-        name: The name.
-        known: The names that are defined.
+        key: Dotted path of the field, as faults show it.
+        name: The name that the field refers to.
+        defined: The names that are defined.
     """
 
     key: str
     name: str
-    known: frozenset[str]
+    defined: frozenset[str]
 
 
-def _dangling(document: SteeringDocument, source: str) -> Iterator[Fault]:
+def _undefined_reference_faults(
+    document: SteeringDocument, source: str
+) -> Iterator[Fault]:
     for reference in _references(document):
-        if reference.name not in reference.known:
+        if reference.name not in reference.defined:
             yield Fault(
                 source,
                 reference.key,
@@ -271,10 +277,10 @@
         yield _Reference(f'zones.{zone.name}.region', zone.region, regions)
     for host in document.hosts:
         yield _Reference(f'hosts.{host.name}.zone', host.zone, zones)
-    for one in document.upstreams:
-        table = f'upstreams.{one.name}'
-        yield _Reference(f'{table}.zone', one.zone, zones)
-        yield _Reference(f'{table}.workload', one.workload, workloads)
+    for upstream in document.upstreams:
+        table = f'upstreams.{upstream.name}'
+        yield _Reference(f'{table}.zone', upstream.zone, zones)
+        yield _Reference(f'{table}.workload', upstream.workload, workloads)
     for site in document.sites:
         yield _Reference(f'sites.{site.name}.region', site.region, regions)
     for block in document.blocks:
@@ -287,7 +293,7 @@
         yield _Reference(f'{table}.workload', shift.workload, workloads)
         yield _Reference(f'{table}.source', shift.source, regions)
         yield _Reference(f'{table}.target', shift.target, regions)
-    places = {
+    drainable = {
         'upstream': _names(document.upstreams),
         'host': _names(document.hosts),
         'zone': zones,
@@ -295,13 +301,13 @@
     }
     for drain in document.drains:
         key = f'drains.{drain.kind}.name'
-        yield _Reference(key, drain.name, places[drain.kind])
+        yield _Reference(key, drain.name, drainable[drain.kind])
 
 
 class _Named(Protocol):
     @property
     def name(self) -> str:
-        """Name of a row."""
+        """Name by which other tables refer to the row."""
 
 
 def _names(rows: Iterable[_Named]) -> frozenset[str]:
--- a/src/wardstair/version/organisations.py
+++ b/src/wardstair/version/organisations.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-# API keys are looked up by digest, so that comparison times disclose nothing
-# about a key and dumps of the table contain none.
+# API keys are looked up by salted digest, so that the time of a comparison
+# reveals nothing about a key and dumps of the table contain no keys.
 _DIGEST_BYTES = 16
 _SALT = secrets.token_bytes(16)
 Digest = bytes
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """Limit on the requests of an organisation to the whole fleet.
+    """Limit on the requests of an organisation, for the whole fleet.
 
     Attributes:
         rate: Requests per second.
-        burst: Requests above that rate that may arrive at once.
+        burst: Number of requests above that rate that may arrive at once.
     """
 
     rate: float
@@ -31,9 +31,9 @@
 
     Attributes:
         name: Its name, as sent to upstreams.
-        priority: Rank of its requests, 0 is the most important; None if the
-            routes decide.
-        regions: The only regions that may serve it; empty for all.
+        priority: Priority of its requests, 0 is the highest; None to use the
+            priority of the route.
+        regions: The regions that may serve it; empty for all.
         quota: Limit on its requests; None if unlimited.
     """
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrganisationTable:
-    """The organisations of a version.
+    """The organisations of a configuration version.
 
     Attributes:
         by_name: Organisations by name.
@@ -58,7 +58,10 @@
     @property
     def has_quotas(self) -> bool:
         """Whether any organisation has a quota."""
-        return any(one.quota is not None for one in self.by_name.values())
+        return any(
+            organisation.quota is not None
+            for organisation in self.by_name.values()
+        )
 
     def owner_of(self, api_key: str) -> Organisation | None:
         """Return the organisation that holds an API key, or None."""
@@ -66,7 +69,10 @@
 
 
 def digest_of(api_key: str) -> Digest:
-    """Return the digest of an API key, which is specific to this process."""
+    """Return the digest of an API key.
+
+    The salt is drawn at start, so digests of other processes differ.
+    """
     return blake2b(
         api_key.encode(),
         digest_size=_DIGEST_BYTES,
--- a/src/wardstair/version/parts.py
+++ b/src/wardstair/version/parts.py
@@ -1,14 +1,15 @@
 """A steering configuration as immutable parts and one small head.
 
-Parts are named by the digest of their content, so a part that a host holds
-never has to be sent again, and a change re-sends only what it touched. The
-head names the parts; its version in the platform's store is the version of
-the configuration.
-
-The block table travels as rows of numbers, never as one object a block: a
-million validated objects would take hundreds of megabytes. It is cut where
-the hash of a start address says so, not at fixed counts, so that a block
-that comes or goes changes one part and moves no other cut.
+Parts are addressed by the digest of their content, so a host never fetches
+a part that it already has, and a change transfers only the parts that it
+affects. The head lists the parts; its version in the platform's store is the
+version of the configuration.
+
+The block table is encoded as arrays of numbers rather than as one object per
+block: a million validated objects would take hundreds of megabytes. Part
+boundaries depend on the hash of the start address (content-defined chunking)
+instead of a fixed row count, so that adding or removing a block changes one
+part and leaves the other boundaries in place.
 """
 
 import base64
@@ -30,7 +31,7 @@
 
 ROWS_PER_PART = 8192
 MAX_ROWS_PER_PART = 4 * ROWS_PER_PART
-_DIGEST_LETTERS = 32
+_DIGEST_HEX_DIGITS = 32
 _START_BYTES = 4
 _ROW_BYTES = 5
 
@@ -40,10 +41,10 @@
     """The head of a version.
 
     Attributes:
-        base: Digest of everything but the block table.
+        base: Digest of the part with everything except the block table.
         blocks: Digests of the parts of the block table, in order.
-        command: Key of the order that made this version.
-        operator: Who gave the order.
+        command: Idempotency key of the order that created this version.
+        operator: Operator who gave the order.
     """
 
     base: str
@@ -53,11 +54,11 @@
 
     @property
     def digests(self) -> tuple[str, ...]:
-        """All parts that the version consists of."""
+        """Digests of all parts of the version."""
         return (self.base, *self.blocks)
 
     def as_json(self) -> dict[str, Any]:
-        """Return the form in which the head is stored."""
+        """Return the head as it is stored."""
         return {
             'base': self.base,
             'blocks': list(self.blocks),
@@ -67,7 +68,7 @@
 
 
 def head_from_json(value: Any) -> Head:
-    """Read a stored head."""
+    """Decode a stored head."""
     return Head(
         value['base'],
         tuple(value['blocks']),
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True)
 class Package:
-    """A head with parts that it names, by digest."""
+    """A head with some or all of its parts, by digest."""
 
     head: Head
     parts: dict[str, bytes]
@@ -86,7 +87,7 @@
 
 @dataclass(frozen=True)
 class Unpacked:
-    """A configuration put together from its parts."""
+    """A configuration assembled from its parts."""
 
     document: SteeringDocument
     table: BlockTable
@@ -97,31 +98,34 @@
 
     Args:
         document: The checked configuration.
-        command: Key of the order that makes the version.
-        operator: Who gave the order.
+        command: Idempotency key of the order that creates the version.
+        operator: Operator who gave the order.
     """
-    numbers = {site.name: index for index, site in enumerate(document.sites)}
+    site_numbers = {
+        site.name: index for index, site in enumerate(document.sites)
+    }
     table = build_table(
-        Block(block.network, numbers[block.site]) for block in document.blocks
+        Block(block.network, site_numbers[block.site])
+        for block in document.blocks
     )
-    pieces = list(pack_table(table))
-    blocks = tuple(part_digest(piece) for piece in pieces)
+    table_parts = list(pack_table(table))
+    blocks = tuple(part_digest(part) for part in table_parts)
     package = repack(Head('', blocks, command, operator), document)
-    parts = {part_digest(piece): piece for piece in pieces}
+    parts = {part_digest(part): part for part in table_parts}
     return Package(package.head, {**package.parts, **parts})
 
 
 def repack(head: Head, document: SteeringDocument) -> Package:
-    """Make a version that keeps the block table of another.
+    """Create a version with the block table of an existing head.
 
     Args:
-        head: Names the block table, command and operator.
-        document: The configuration; its own blocks are left out.
+        head: Head with the block table, command and operator to use.
+        document: The configuration; its blocks are ignored.
 
     Returns:
-        The new head and the one new part.
+        The new head and its only new part, the base.
     """
-    base = _deflate(document.model_dump(mode='json', exclude={'blocks'}))
+    base = _compress_json(document.model_dump(mode='json', exclude={'blocks'}))
     digest = part_digest(base)
     return Package(replace(head, base=digest), {digest: base})
 
@@ -130,17 +134,17 @@
     head: Head,
     parts: dict[str, bytes],
 ) -> Result[Unpacked, list[Fault]]:
-    """Put a configuration together from its parts.
+    """Assemble a configuration from its parts.
 
     Args:
-        head: Its head.
-        parts: All parts that the head names, by digest.
+        head: The head of the version.
+        parts: All parts that the head lists, by digest.
     """
     for digest in head.digests:
         if part_digest(parts[digest]) != digest:
             hint = 'fetch the part again from the platform'
-            return Err([Fault('head', digest, 'the part is damaged', hint)])
-    checked = check_document(_inflate(parts[head.base]), 'head')
+            return Err([Fault('head', digest, 'digest mismatch', hint)])
+    checked = check_document(_decompress_json(parts[head.base]), 'head')
     match checked:
         case Ok(document):
             rows = (parts[digest] for digest in head.blocks)
@@ -150,64 +154,64 @@
 
 
 def pack_table(table: BlockTable) -> Iterator[bytes]:
-    """Cut a block table into parts of about 8,192 rows."""
+    """Split a block table into parts of 8,192 rows on average."""
     first = 0
     for row in range(1, table.size + 1):
         is_last = row == table.size
-        is_cut = not is_last and _cuts_before(table.starts[row])
-        if is_last or is_cut or row - first >= MAX_ROWS_PER_PART:
-            starts = _little(table.starts[first:row])
+        is_boundary = not is_last and _starts_part(table.starts[row])
+        if is_last or is_boundary or row - first >= MAX_ROWS_PER_PART:
+            starts = _little_endian_bytes(table.starts[first:row])
             sites = table.sites[first:row].tobytes()
             yield zlib.compress(starts + sites, 6)
             first = row
 
 
 def unpack_table(parts: Iterator[bytes]) -> BlockTable:
-    """Put a block table together from its parts, in order."""
+    """Assemble a block table from its parts, in order."""
     starts = array('I')
     sites = array('B')
     for part in parts:
         raw = zlib.decompress(part)
         rows = len(raw) // _ROW_BYTES
-        piece = array('I')
-        piece.frombytes(raw[: rows * _START_BYTES])
+        part_starts = array('I')
+        part_starts.frombytes(raw[: rows * _START_BYTES])
         if sys.byteorder == 'big':
-            piece.byteswap()
-        starts.extend(piece)
+            part_starts.byteswap()
+        starts.extend(part_starts)
         sites.frombytes(raw[rows * _START_BYTES :])
     return BlockTable(starts, sites)
 
 
 def part_digest(part: bytes) -> str:
-    """Return the name of a part."""
-    return hashlib.sha256(part).hexdigest()[:_DIGEST_LETTERS]
+    """Return the digest under which a part is stored and fetched."""
+    return hashlib.sha256(part).hexdigest()[:_DIGEST_HEX_DIGITS]
 
 
 def part_as_json(part: bytes) -> str:
-    """Return the form in which a part is stored."""
+    """Return a part as it is stored, in base64."""
     return base64.b64encode(part).decode()
 
 
 def part_from_json(value: str) -> bytes:
-    """Read a stored part."""
+    """Decode a stored part."""
     return base64.b64decode(value)
 
 
-def _cuts_before(start: int) -> bool:
+def _starts_part(start: int) -> bool:
     digest = xxh32_intdigest(start.to_bytes(_START_BYTES, 'little'))
     return digest % ROWS_PER_PART == 0
 
 
-def _little(starts: 'array[int]') -> bytes:
+def _little_endian_bytes(starts: 'array[int]') -> bytes:
     if sys.byteorder == 'big':
         starts.byteswap()
     return starts.tobytes()
 
 
-def _deflate(content: object) -> bytes:
+def _compress_json(content: object) -> bytes:
     text = json.dumps(content, sort_keys=True, separators=(',', ':'))
     return zlib.compress(text.encode(), 6)
 
 
-def _inflate(part: bytes) -> Any:
+def _decompress_json(part: bytes) -> Any:
     return json.loads(zlib.decompress(part))
--- a/src/wardstair/version/resources.py
+++ b/src/wardstair/version/resources.py
@@ -1,4 +1,4 @@
-"""The capacities of one zone under one version."""
+"""The capacities that the hosts of a zone share under one version."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -14,19 +14,21 @@
 from wardstair.version.document import WorkloadModel
 from wardstair.version.topology import Topology
 
-SETTLE_UNBOUNDED_SECONDS = 5.0
+# Stands in for the holding time of work that has no deadline, such as uploads.
+UNBOUNDED_ORPHAN_SECONDS = 5.0
 HOLD_MARGIN_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class Resource:
-    """One capacity of the zone.
+    """One capacity of the zone, divided into tokens.
 
     Attributes:
-        name: Its name in the shares.
-        workload: The workload it serves.
-        size: Its tokens.
-        hold_seconds: Most seconds that work holds one, or None.
+        name: Its name in the shares of the hosts.
+        workload: The workload that it serves.
+        size: Number of tokens.
+        hold_seconds: Longest time in seconds for which work holds a token;
+            None if unlimited.
     """
 
     name: str
@@ -36,10 +38,10 @@
 
     @property
     def settle_seconds(self) -> float:
-        """Seconds that a new owner of a token waits out.
+        """Seconds that a new owner waits before it uses a token.
 
-        Infinite where work has no longest time: there the other hosts have
-        to say what they hold.
+        Infinite if work may hold a token for any time: the new owner then
+        needs the other hosts' reports of the tokens that they hold.
         """
         if self.hold_seconds is None:
             return float('inf')
@@ -47,10 +49,11 @@
 
     @property
     def orphaned_work_seconds(self) -> float:
-        """Seconds in which an upstream may still work for a dead host."""
+        """Seconds for which upstreams may still run work of a dead host."""
         if self.hold_seconds is None:
-            # An upload ends when its connection breaks.
-            return SETTLE_UNBOUNDED_SECONDS
+            # Work without a deadline is an upload, which ends soon after its
+            # connection breaks.
+            return UNBOUNDED_ORPHAN_SECONDS
         return self.hold_seconds
 
 
@@ -58,19 +61,19 @@
     """Return the capacities of a zone, by name.
 
     Args:
-        topology: The version.
-        zone: The zone.
+        topology: Topology of the version.
+        zone: Name of the zone.
     """
-    found = [
-        *_upstreams(topology, zone),
-        *_outside(topology, zone),
-        *_shifts(topology, zone),
+    resources = [
+        *_upstream_resources(topology, zone),
+        *_cross_region_resources(topology, zone),
+        *_shift_resources(topology, zone),
     ]
-    return {resource.name: resource for resource in found}
+    return {resource.name: resource for resource in resources}
 
 
 def shifts_to(topology: Topology, region: str) -> tuple[ActiveShift, ...]:
-    """Return the shifts that bring traffic to a region."""
+    """Return the shifts that move traffic to a region."""
     return tuple(
         ActiveShift(shift.name, shift.workload, shift.source, shift.cap)
         for shift in topology.shifts
@@ -78,30 +81,36 @@
     )
 
 
-def _hold(workload: WorkloadModel) -> float | None:
+def _hold_seconds(workload: WorkloadModel) -> float | None:
     if workload.deadline_seconds is None:
         return None
     return workload.deadline_seconds + HOLD_MARGIN_SECONDS
 
 
-def _upstreams(topology: Topology, zone: str) -> Iterator[Resource]:
-    holds = {one.name: _hold(one) for one in topology.document.workloads}
+def _upstream_resources(topology: Topology, zone: str) -> Iterator[Resource]:
+    hold_seconds = {
+        workload.name: _hold_seconds(workload)
+        for workload in topology.document.workloads
+    }
     for model in topology.upstreams.values():
         if model.zone == zone:
             yield Resource(
                 model.name,
                 model.workload,
                 model.slots,
-                holds[model.workload],
+                hold_seconds[model.workload],
             )
 
 
-def _outside(topology: Topology, zone: str) -> Iterator[Resource]:
-    region = topology.zone_regions[zone]
+def _cross_region_resources(
+    topology: Topology,
+    zone: str,
+) -> Iterator[Resource]:
+    region_name = topology.zone_regions[zone]
     share = next(
-        one.outside_share
-        for one in topology.document.regions
-        if one.name == region
+        region.outside_share
+        for region in topology.document.regions
+        if region.name == region_name
     )
     for workload in topology.document.workloads:
         slots = sum(
@@ -113,20 +122,24 @@
             cross_region_resource(workload.name),
             workload.name,
             cross_region_tokens(slots, share),
-            _hold(workload),
+            _hold_seconds(workload),
         )
 
 
-def _shifts(topology: Topology, zone: str) -> Iterator[Resource]:
+def _shift_resources(topology: Topology, zone: str) -> Iterator[Resource]:
     region = topology.zone_regions[zone]
     zones = sorted(
-        name for name, own in topology.zone_regions.items() if own == region
+        name
+        for name, zone_region in topology.zone_regions.items()
+        if zone_region == region
     )
-    workloads = {one.name: one for one in topology.document.workloads}
+    workloads = {
+        workload.name: workload for workload in topology.document.workloads
+    }
     for shift in shifts_to(topology, region):
         yield Resource(
             shift_resource(shift.name),
             shift.workload,
             zone_part(shift.cap, zones, zone),
-            _hold(workloads[shift.workload]),
+            _hold_seconds(workloads[shift.workload]),
         )
--- a/src/wardstair/version/steering.py
+++ b/src/wardstair/version/steering.py
@@ -1,6 +1,6 @@
-"""The steering configuration that a gateway has in force.
+"""The steering configuration that a gateway applies.
 
-Immutable; one object a version. The adapter of a platform builds it, the
+There is one immutable object per version. The platform adapter builds it, the
 gateway only reads it.
 """
 
@@ -12,7 +12,7 @@
 
 
 class Repeatability(StrEnum):
-    """Whether a request may run more than once."""
+    """Whether the upstreams may run a request more than once."""
 
     repeatable = 'repeatable'
     once = 'once'
@@ -20,11 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service and its part of a route's requests.
+    """A service and its weight among the services of a route.
 
     Attributes:
         service: Name of the service.
-        weight: Its part; any positive scale, the same for all of a route.
+        weight: Share of the route's requests, relative to the weights of the
+            route's other services.
     """
 
     service: str
@@ -33,20 +34,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SteeredRoute:
-    """Which requests belong together and how they are treated.
+    """A class of requests, matched by host name and path, and its rules.
 
     Attributes:
-        name: Its name.
+        name: Name of the route.
         host: Host name that callers use.
-        prefix: Begin of the paths it covers; begins and ends with a slash.
+        prefix: Path prefix that it matches; begins and ends with a slash.
         repeatability: Whether its requests may run more than once.
-        shares: The services that serve it; one unless it is split.
-        max_attempts: Most upstreams that one request is sent to.
-        timeout: Longest time a request may be held, in seconds.
-        objective: Seconds within which an answer is in time.
-        priority: Rank; 0 is the most important.
-        is_sticky: Whether an upstream that saw a key serves it faster.
-        regions: The only regions that may serve it; empty for all.
+        shares: The services that serve it; one unless the route is split.
+        max_attempts: Maximum number of upstreams that a request is sent to,
+            the first included.
+        timeout: Longest time that a request may take, in seconds.
+        objective: Target latency in seconds; later answers count as late.
+        priority: Priority; 0 is the highest.
+        is_sticky: Whether an upstream that has served an affinity key before
+            serves it faster.
+        regions: The regions that may serve it; empty for all.
         is_public: Whether it serves requests without an API key.
     """
 
@@ -71,14 +74,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SteeredService:
-    """What is known of a service apart from its upstreams.
+    """The settings of a service; its upstreams are listed elsewhere.
 
     Attributes:
-        name: Its name.
+        name: Name of the service.
         health_path: Path of the health check.
-        max_connections: Connections an upstream accepts from all callers.
-        cold_seconds: How long an upstream is cold after its start.
-        cold_rate: Requests a second that a cold upstream bears.
+        max_connections: Maximum number of connections that an upstream accepts
+            from all entry hosts together.
+        cold_seconds: Seconds for which an upstream is cold after its start.
+        cold_rate: Requests per second that a cold upstream can serve, from all
+            entry hosts together.
     """
 
     name: str
@@ -90,13 +95,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and timing of callers' requests.
 
     Attributes:
-        header_bytes: Longest head of a request.
-        body_bytes: Longest body of a request.
-        header_seconds: Longest time for a head to arrive.
-        idle_seconds: How long a connection may rest between requests.
+        header_bytes: Maximum size of a request head.
+        body_bytes: Maximum size of a request body.
+        header_seconds: Longest time in which a head may arrive.
+        idle_seconds: Longest time for which a connection may be idle between
+            requests.
     """
 
     header_bytes: int = 16384
@@ -110,12 +116,13 @@
     """One version of the configuration.
 
     Attributes:
-        version: Its number; later versions are higher.
+        version: Version number; later versions have higher numbers.
         routes: All routes.
         services: Services by name.
         limits: Limits for callers.
         by_host: Routes of each host name, longest prefix first.
-        defaulted_fields: Fields that it leaves out and that have a stand-in.
+        defaulted_fields: Fields that the stored configuration omits and for
+            which a default is used.
         organisations: Organisations that may make requests; if there are none,
             no API key is needed.
     """
@@ -134,7 +141,7 @@
         """Return the route with the longest prefix of a path, or None.
 
         Args:
-            host: Host name as the caller sent it, without a port.
+            host: Host name that the caller sent, without the port.
             path: Path without the query.
         """
         for route in self.by_host.get(host, ()):
@@ -147,10 +154,10 @@
     routes: tuple[SteeredRoute, ...],
 ) -> dict[str, tuple[SteeredRoute, ...]]:
     """Return the routes of each host name, longest prefix first."""
-    hosts: dict[str, list[SteeredRoute]] = {}
+    by_host: dict[str, list[SteeredRoute]] = {}
     for route in sorted(routes, key=_prefix_length, reverse=True):
-        hosts.setdefault(route.host, []).append(route)
-    return {host: tuple(listed) for host, listed in hosts.items()}
+        by_host.setdefault(route.host, []).append(route)
+    return {host: tuple(host_routes) for host, host_routes in by_host.items()}
 
 
 def _prefix_length(route: SteeredRoute) -> int:
--- a/src/wardstair/version/topology.py
+++ b/src/wardstair/version/topology.py
@@ -1,4 +1,4 @@
-"""What is derived once from an accepted steering configuration."""
+"""Indexes that are derived once from an accepted steering configuration."""
 
 from dataclasses import dataclass, field
 
@@ -20,7 +20,14 @@
 
 @dataclass(frozen=True)
 class Route:
-    """One route with the workload that it belongs to."""
+    """A route with its workload.
+
+    Attributes:
+        methods: HTTP methods that it matches.
+        prefix: Path prefix that it matches.
+        is_once: Whether its requests may run at most once.
+        workload: The workload that its requests belong to.
+    """
 
     methods: frozenset[str]
     prefix: str
@@ -30,7 +37,15 @@
 
 @dataclass(frozen=True)
 class CappedShift:
-    """A shift in force."""
+    """A move of a workload's traffic between regions.
+
+    Attributes:
+        name: Name of the shift.
+        workload: Workload whose traffic moves.
+        source: Region that the traffic comes from.
+        target: Region that the traffic goes to.
+        cap: Maximum number of moved requests in flight in the target region.
+    """
 
     name: str
     workload: str
@@ -41,15 +56,20 @@
 
 @dataclass(frozen=True)
 class Topology:
-    """An accepted version with the indexes that requests need.
+    """An accepted version with the indexes for handling requests.
 
     Attributes:
-        version: Version of the configuration; it only grows.
+        version: Version of the configuration; it never decreases.
         document: The configuration itself.
         routes: Routes, longest prefix first.
-        table: Block table from address to site number.
+        table: Block table, which maps addresses to site numbers.
         site_regions: Region of each site, by site number.
         zone_regions: Region of each zone, by name.
+        upstreams: Upstreams by name, drained ones included.
+        hosts: Entry hosts by name, drained ones included.
+        shifts: Shifts of traffic between regions.
+        policies: Steering policies by workload.
+        drained: Upstreams, hosts, zones and regions that are drained.
     """
 
     version: int
@@ -90,15 +110,15 @@
         workload: str,
         zone: str,
     ) -> tuple[UpstreamModel, ...]:
-        """Return the upstreams of a workload in a zone, drained ones not."""
+        """Return the upstreams of a workload in a zone that are not drained."""
         return self._serving.get((workload, zone), ())
 
     def slots(self, workload: str, zone: str) -> int:
-        """Return the slots of the upstreams that serve a workload there."""
+        """Return the slots of the serving upstreams of a workload in a zone."""
         return self._slots.get((workload, zone), 0)
 
     def is_upstream_drained(self, upstream: UpstreamModel) -> bool:
-        """Return whether an order drains the upstream or its place."""
+        """Return whether the upstream, its zone or its region is drained."""
         return self._has_drain(
             ('upstream', upstream.name),
             ('zone', upstream.zone),
@@ -106,7 +126,7 @@
         )
 
     def is_host_drained(self, host: HostModel) -> bool:
-        """Return whether an order drains the host or its place."""
+        """Return whether the host, its zone or its region is drained."""
         return self._has_drain(
             ('host', host.name),
             ('zone', host.zone),
@@ -114,23 +134,25 @@
         )
 
     def zone_hosts(self, zone: str) -> tuple[HostModel, ...]:
-        """Return the entry hosts of a zone, by name."""
+        """Return the entry hosts of a zone, sorted by name."""
         return self._zone_hosts.get(zone, ())
 
     def __post_init__(self) -> None:
-        """Index upstreams and hosts by place, once a version."""
+        """Index the upstreams by workload and zone, and the hosts by zone."""
         for upstream in self.upstreams.values():
             if self.is_upstream_drained(upstream):
                 continue
-            place = (upstream.workload, upstream.zone)
-            self._serving[place] = (*self._serving.get(place, ()), upstream)
-            self._slots[place] = self.slots(*place) + upstream.slots
-        for host in sorted(self.hosts.values(), key=lambda one: one.name):
-            here = self._zone_hosts.get(host.zone, ())
-            self._zone_hosts[host.zone] = (*here, host)
-
-    def _has_drain(self, *places: tuple[str, str]) -> bool:
-        return any((drain.kind, drain.name) in places for drain in self.drained)
+            key = (upstream.workload, upstream.zone)
+            self._serving[key] = (*self._serving.get(key, ()), upstream)
+            self._slots[key] = self.slots(*key) + upstream.slots
+        for host in sorted(self.hosts.values(), key=lambda host: host.name):
+            indexed = self._zone_hosts.get(host.zone, ())
+            self._zone_hosts[host.zone] = (*indexed, host)
+
+    def _has_drain(self, *targets: tuple[str, str]) -> bool:
+        return any(
+            (drain.kind, drain.name) in targets for drain in self.drained
+        )
 
 
 def build_topology(
@@ -143,21 +165,24 @@
     Args:
         version: Version of the accepted configuration.
         document: The checked configuration.
-        table: Block table, if it was built from parts already.
+        table: Block table, if it has already been built from parts; None to
+            build it from the blocks of the document.
     """
-    numbers = {site.name: index for index, site in enumerate(document.sites)}
+    site_numbers = {
+        site.name: index for index, site in enumerate(document.sites)
+    }
     return Topology(
         version=version,
         document=document,
         routes=_routes(document),
         table=table
         or build_table(
-            Block(block.network, numbers[block.site])
+            Block(block.network, site_numbers[block.site])
             for block in document.blocks
         ),
         site_regions=tuple(site.region for site in document.sites),
         zone_regions={zone.name: zone.region for zone in document.zones},
-        upstreams={one.name: one for one in document.upstreams},
+        upstreams={upstream.name: upstream for upstream in document.upstreams},
         hosts={host.name: host for host in document.hosts},
         shifts=tuple(
             CappedShift(
