--- a/src/wardstair/cli/__init__.py
+++ b/src/wardstair/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line programs, one a module."""
+"""Command line programs, one per module."""
--- a/src/wardstair/cli/check.py
+++ b/src/wardstair/cli/check.py
@@ -1,4 +1,4 @@
-"""`wardstair-check`: checks settings and configuration without running them."""
+"""`wardstair-check`: validates settings and configuration files."""
 
 from pathlib import Path
 
@@ -12,35 +12,35 @@
 
 
 def check(*files: str) -> None:
-    """Check TOML files and name the remedy of every fault.
+    """Check TOML files and print every fault with its remedy.
 
-    A file with `fleet_ports` is read as the settings of a gateway, one with a
-    `host` table as those of an entry host, any other as steering
-    configuration. A gateway's setting that is not given is a fault here,
-    though the gateway starts without it.
+    A file with `fleet_ports` is checked as the settings of a gateway, one with
+    a `host` table as the settings of an entry host, and any other as steering
+    configuration. A missing gateway setting is reported as a fault, although
+    the gateway starts without it.
 
     Args:
         files: Paths of the files.
     """
-    faults = [fault for name in files for fault in _faults(Path(name))]
+    faults = [fault for file in files for fault in _find_faults(Path(file))]
     for fault in faults:
         print(fault)
     if faults or not files:
         raise SystemExit(1)
 
 
-def _faults(path: Path) -> list[Fault]:
+def _find_faults(path: Path) -> list[Fault]:
     match read_toml(path):
         case Ok(content) if 'fleet_ports' in content:
             return settings_faults(path)
         case Ok(content):
-            checked = _checked(content, str(path))
-            return checked.err_value if isinstance(checked, Err) else []
+            result = _check_content(content, str(path))
+            return result.err_value if isinstance(result, Err) else []
         case Err(faults):
             return faults
 
 
-def _checked(
+def _check_content(
     content: dict[str, object],
     source: str,
 ) -> Result[object, list[Fault]]:
--- a/src/wardstair/cli/config_commands.py
+++ b/src/wardstair/cli/config_commands.py
@@ -16,7 +16,11 @@
     """The steering configuration: show, diff, apply, status."""
 
     def __init__(self, context: Context) -> None:
-        """Share the context."""
+        """Create the commands.
+
+        Args:
+            context: Hosts, output format and operator to use.
+        """
         self._context = context
 
     def show(self) -> None:
@@ -24,17 +28,20 @@
         print(json.dumps(self._context.first('/v1/config'), indent=2))
 
     def diff(self, file: str) -> None:
-        """Print what applying a file would change.
+        """Print what applying a file would change, apart from its blocks.
 
         Example: wardstairctl config diff examples/palermo.toml
+
+        Args:
+            file: Path of the TOML file.
         """
         document = _read(file)
-        ours = self._context.first('/v1/config') or {}
-        theirs = document.model_dump(mode='json', exclude={'blocks'})
-        ours.pop('blocks', None)
+        current = self._context.first('/v1/config') or {}
+        proposed = document.model_dump(mode='json', exclude={'blocks'})
+        current.pop('blocks', None)
         lines = difflib.unified_diff(
-            json.dumps(ours, indent=1, sort_keys=True).splitlines(),
-            json.dumps(theirs, indent=1, sort_keys=True).splitlines(),
+            json.dumps(current, indent=1, sort_keys=True).splitlines(),
+            json.dumps(proposed, indent=1, sort_keys=True).splitlines(),
             'in force',
             file,
             lineterm='',
@@ -48,15 +55,15 @@
         expected: int | None = None,
         dry_run: bool = False,
     ) -> None:
-        """Check a file and make it the next version.
+        """Check a file and apply it as the next version.
 
         Example: wardstairctl config apply palermo.toml --expected 7
 
         Args:
             file: Path of the TOML file.
-            key: Makes the order idempotent.
-            expected: Refuse unless this is the newest version.
-            dry_run: Only check.
+            key: Idempotency key; an order with the same key is applied once.
+            expected: Refuse the order unless this is the newest version.
+            dry_run: Check the order without applying it.
         """
         content = _read(file).model_dump(mode='json')
         self._context.order(
@@ -68,17 +75,20 @@
         )
 
     def status(self) -> None:
-        """Print the lowest version in force by zone, and who lags."""
-        found = self._context.first('/v1/config-status')
-        newest = found['version']
+        """Print the lowest version in force by zone, and which zones lag.
+
+        Exits with code 3 if a zone lags.
+        """
+        status = self._context.first('/v1/config-status')
+        newest = status['version']
         rows = [
             {
                 'zone': zone,
-                'lowest': one['lowest'],
-                'age': one['age'],
-                'state': 'in force' if one['lowest'] >= newest else 'LAGS',
+                'lowest': known['lowest'],
+                'age': known['age'],
+                'state': 'in force' if known['lowest'] >= newest else 'LAGS',
             }
-            for zone, one in found['zones'].items()
+            for zone, known in status['zones'].items()
         ]
         print_rows(rows, as_json=self._context.as_json)
         if any(row['state'] == 'LAGS' for row in rows):
--- a/src/wardstair/cli/context.py
+++ b/src/wardstair/cli/context.py
@@ -1,4 +1,4 @@
-"""What all commands of `wardstairctl` share: hosts, output form, exit codes."""
+"""Hosts, output format and exit codes shared by `wardstairctl` commands."""
 
 import json
 import os
@@ -17,38 +17,48 @@
 
 
 class Context:
-    """What all commands share: hosts, output form and the operator."""
+    """The hosts, output format and operator that all commands share."""
 
     def __init__(self, hosts: str, *, as_json: bool) -> None:
         """Read the addresses and the token.
 
         Args:
-            hosts: Addresses with commas between, or empty for those of the
+            hosts: Comma-separated addresses; if empty, those of the
                 environment variable WARDSTAIR_HOSTS.
-            as_json: Print JSON.
+            as_json: Print JSON instead of tables.
         """
-        named = hosts or os.environ.get(HOSTS_VARIABLE, '')
+        addresses = hosts or os.environ.get(HOSTS_VARIABLE, '')
         self.as_json = as_json
         self.operator = os.environ.get('USER', 'operator')
         self.client = OperatorClient(
-            [host for host in named.split(',') if host],
+            [host for host in addresses.split(',') if host],
             os.environ.get(TOKEN_VARIABLE, ''),
         )
 
     def rows_of_all(self, path: str) -> list[HostAnswer]:
-        """Ask all hosts; tell which did not answer; fail if none did."""
+        """Query all hosts and return the successful answers.
+
+        Prints the hosts that did not answer; exits if none did.
+
+        Args:
+            path: Path of the query.
+        """
         answers = self.client.ask_all(path)
-        print_missing([one.host for one in answers if not one.is_good])
-        good = [one for one in answers if one.is_good]
+        print_missing([answer.host for answer in answers if not answer.is_good])
+        good = [answer for answer in answers if answer.is_good]
         if not good:
             raise SystemExit(EXIT_UNREACHABLE)
         return good
 
     def first(self, path: str) -> Any:
-        """Ask one host; fail if none answers."""
+        """Return the content of the first answer; exit if the query fails.
+
+        Args:
+            path: Path of the query.
+        """
         answer = self.client.ask_first(path)
         if answer.status == 404:
-            print('not known to this host', file=sys.stderr)
+            print('not found on this host', file=sys.stderr)
             raise SystemExit(EXIT_REFUSED)
         if not answer.is_good:
             print_missing([f'{answer.host}: {answer.content}'])
@@ -64,7 +74,15 @@
         force: bool,
         expected: int | None = None,
     ) -> None:
-        """Give an order and print what came of it."""
+        """Send an order and print its result; exit if it is refused.
+
+        Args:
+            action: The verb of the order and its parameters.
+            key: Idempotency key; empty to generate one.
+            dry_run: Only forecast the effect.
+            force: Apply the order in spite of a bad forecast.
+            expected: Refuse the order unless this is the newest version.
+        """
         answer = self.client.order(
             {
                 'key': key or f'ctl-{uuid4().hex}',
@@ -90,6 +108,6 @@
             return
         for line in content['forecast']:
             print(line)
-        word = 'would follow' if dry_run else 'is'
-        again = ' (given before)' if content['repeated'] else ''
-        print(f'version {content["version"]} {word} the order{again}')
+        verb = 'is unchanged by a dry run of' if dry_run else 'was created by'
+        note = ' (already applied before)' if content['repeated'] else ''
+        print(f'version {content["version"]} {verb} the order{note}')
--- a/src/wardstair/cli/ctl.py
+++ b/src/wardstair/cli/ctl.py
@@ -1,4 +1,4 @@
-"""`wardstairctl`: asks what is happening and orders what happens next."""
+"""`wardstairctl`: queries entry hosts and sends them orders."""
 
 import json
 import sys
@@ -15,34 +15,35 @@
 
 
 class Ctl:
-    """Query and command language of wardstair.
+    """Query and control the entry hosts of wardstair.
 
-    Give the operators' listeners by --hosts or WARDSTAIR_HOSTS, with commas
-    between, and the token by WARDSTAIR_TOKEN. Exit codes: 0 done, 1 refused,
-    2 no host answered, 3 done in part.
+    Give the addresses of operators' listeners, separated by commas, with
+    --hosts or in WARDSTAIR_HOSTS, and the token in WARDSTAIR_TOKEN. Exit codes:
+    0 success, 1 refused, 2 no host answered, 3 partial success.
     """
 
     def __init__(self, hosts: str = '', json: bool = False) -> None:  # noqa: A002
-        """Prepare the commands.
+        """Create the commands.
 
         Args:
-            hosts: Addresses of operators' listeners.
-            json: Print JSON for programs.
+            hosts: Addresses of operators' listeners, separated by commas.
+            json: Print JSON instead of tables.
         """
-        named = ','.join(hosts) if isinstance(hosts, tuple) else hosts
-        self._context = Context(named, as_json=json)
+        # fire parses a value with commas as a tuple.
+        addresses = ','.join(hosts) if isinstance(hosts, tuple) else hosts
+        self._context = Context(addresses, as_json=json)
         self.config = ConfigCommands(self._context)
         self.drain = DrainCommands(self._context)
         self.shift = ShiftCommands(self._context)
         self.policy = PolicyCommands(self._context)
 
     def status(self) -> None:
-        """Print one row a host: version, open requests, what waits."""
+        """Print the version and the open and waiting requests of each host."""
         answers = self._context.rows_of_all('/v1/status')
         names = ('host', 'zone', 'version', 'open_requests', 'waiting')
         rows = [
-            {name: one.content[name] for name in (*names, 'leaving')}
-            for one in answers
+            {name: answer.content[name] for name in (*names, 'leaving')}
+            for answer in answers
         ]
         print_rows(rows, as_json=self._context.as_json)
 
@@ -52,12 +53,18 @@
         workload: str = '',
         state: str = '',
     ) -> None:
-        """Print the upstreams as the asked hosts see them."""
+        """Print the upstreams as each queried host sees them.
+
+        Args:
+            zone: Only upstreams of this zone.
+            workload: Only upstreams of this workload.
+            state: Only upstreams in this state.
+        """
         answers = self._context.rows_of_all('/v1/upstreams')
         rows = [
-            {'seen_by': one.host, **row}
-            for one in answers
-            for row in one.content
+            {'seen_by': answer.host, **row}
+            for answer in answers
+            for row in answer.content
         ]
         filters: dict[str, str | None] = {
             'zone': zone,
@@ -68,29 +75,38 @@
         print_rows(kept, as_json=self._context.as_json)
 
     def hosts(self, zone: str = '', state: str = '') -> None:
-        """Print the entry hosts as the first answering host knows them."""
+        """Print the entry hosts as the first host that answers sees them.
+
+        Args:
+            zone: Only hosts of this zone.
+            state: Only hosts in this state.
+        """
         rows = self._context.first('/v1/hosts')
         kept = keep_matching(rows, {'zone': zone, 'state': state})
         print_rows(kept, as_json=self._context.as_json)
 
     def explain(self, subject: str) -> None:
-        """Print what was decided about a request, by its id or key."""
-        found = [
-            {'host': one.host, **one.content}
-            for one in self._context.client.ask_all(f'/v1/explain/{subject}')
-            if one.is_good
+        """Print the recorded decisions about a request.
+
+        Args:
+            subject: Id or idempotency key of the request.
+        """
+        records = [
+            {'host': answer.host, **answer.content}
+            for answer in self._context.client.ask_all(f'/v1/explain/{subject}')
+            if answer.is_good
         ]
-        if not found:
-            print('no asked host remembers it', file=sys.stderr)
+        if not records:
+            print('no host has a record of this request', file=sys.stderr)
             raise SystemExit(EXIT_REFUSED)
-        print(json.dumps(found, indent=2))
+        print(json.dumps(records, indent=2))
 
     def watch(self, turns: int = 0, seconds: float = 2.0) -> None:
-        """Print the status again and again.
+        """Print the status repeatedly.
 
         Args:
-            turns: How often; 0 for ever.
-            seconds: Pause between.
+            turns: Number of times; 0 for no limit.
+            seconds: Pause between two prints, in seconds.
         """
         turn = 0
         while True:
--- a/src/wardstair/cli/drain_commands.py
+++ b/src/wardstair/cli/drain_commands.py
@@ -1,14 +1,18 @@
-"""`wardstairctl drain`: planned stops."""
+"""`wardstairctl drain`: drains upstreams, hosts, zones and regions."""
 
 from wardstair.cli.context import Context
 from wardstair.cli.tables import print_rows
 
 
 class DrainCommands:
-    """Planned stops: start, status, stop."""
+    """Drains of upstreams, hosts, zones and regions: start, status, stop."""
 
     def __init__(self, context: Context) -> None:
-        """Share the context."""
+        """Create the commands.
+
+        Args:
+            context: Hosts, output format and operator to use.
+        """
         self._context = context
 
     def start(
@@ -19,15 +23,15 @@
         dry_run: bool = False,
         force: bool = False,
     ) -> None:
-        """Start a drain; it is refused if the rest would not carry it.
+        """Start a drain; refused if the remaining capacity would not suffice.
 
         Example: wardstairctl drain start zone palermo-a --dry_run
 
         Args:
             kind: upstream, host, zone or region.
-            name: Its name.
-            key: Makes the order idempotent.
-            dry_run: Only forecast.
+            name: Name of what to drain.
+            key: Idempotency key; an order with the same key is applied once.
+            dry_run: Only forecast the effect.
             force: Drain in spite of a bad forecast.
         """
         self._context.order(
@@ -38,7 +42,13 @@
         )
 
     def stop(self, kind: str, name: str, key: str = '') -> None:
-        """End a drain."""
+        """End a drain.
+
+        Args:
+            kind: upstream, host, zone or region.
+            name: Name of what is drained.
+            key: Idempotency key; an order with the same key is applied once.
+        """
         self._context.order(
             {'verb': 'drain-stop', 'drain': {'kind': kind, 'name': name}},
             key=key,
@@ -47,10 +57,10 @@
         )
 
     def status(self) -> None:
-        """Print the drains in force and what is still in flight there."""
+        """Print the active drains with their requests still in flight."""
         drains = (self._context.first('/v1/config') or {}).get('drains', [])
         answers = self._context.rows_of_all('/v1/upstreams')
-        upstreams = [row for one in answers for row in one.content]
+        upstreams = [row for answer in answers for row in answer.content]
         rows = [
             {
                 **drain,
--- a/src/wardstair/cli/entry.py
+++ b/src/wardstair/cli/entry.py
@@ -1,4 +1,4 @@
-"""`wardstair-entry`: runs one entry host until it is told to stop."""
+"""`wardstair-entry`: runs one entry host until it receives a stop signal."""
 
 import asyncio
 import signal
@@ -17,8 +17,8 @@
 def run(settings: str, log_level: str = 'INFO') -> None:
     """Run an entry host.
 
-    SIGTERM and SIGINT drain it: it leaves the look-up answers, finishes what
-    is in flight however slow, and ends.
+    SIGTERM and SIGINT drain the host: it is no longer listed in lookup answers,
+    completes all requests in flight, however long they take, and exits.
 
     Args:
         settings: Path of the TOML settings file.
@@ -37,8 +37,8 @@
 async def _serve(settings: EntrySettings) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for stop_signal in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(stop_signal, stop.set)
     await run_until_stopped(EntryHost(settings, Random()), stop)
 
 
--- a/src/wardstair/cli/explain.py
+++ b/src/wardstair/cli/explain.py
@@ -1,4 +1,4 @@
-"""`wardstair-explain`: why requests ended as they did, from a log."""
+"""`wardstair-explain`: finds in a log why requests ended as they did."""
 
 import sys
 
@@ -10,17 +10,18 @@
 
 
 def explain(request_id: str = '', *, summary: bool = False) -> None:
-    """Read a log on standard input; tell of one request or count causes.
+    """Read a log on standard input; explain one request or count causes.
 
     Args:
-        request_id: The caller's name of its try.
-        summary: Count the causes of all requests not served in time instead.
+        request_id: Id that the caller gave to the request.
+        summary: Instead of one request, count the causes of all requests that
+            were not served in time.
     """
     if summary:
         _print_summary()
         return
     if not request_id:
-        print('name a request, or ask for --summary', file=sys.stderr)
+        print('give the id of a request, or --summary', file=sys.stderr)
         sys.exit(2)
     _print_story(str(request_id))
 
--- a/src/wardstair/cli/gateway.py
+++ b/src/wardstair/cli/gateway.py
@@ -3,14 +3,14 @@
 import signal
 from importlib import import_module
 
-# Loading it takes 0.3 s and more, in which a hang-up would end the process:
-# that is what a signal does until somebody handles it. The settings are read
-# afterwards, so none is missed.
+# Imported only after SIGHUP is ignored: the import takes 0.3 s or more, and a
+# SIGHUP in that time would end the process, since this is its default action.
+# The settings are read after the import, so no change is missed.
 PROGRAM = 'wardstair.gateway.program'
 
 
 def main() -> None:
-    """Run until the process is told to stop."""
+    """Run until the process receives a stop signal."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import_module(PROGRAM).run()
 
--- a/src/wardstair/cli/load.py
+++ b/src/wardstair/cli/load.py
@@ -1,7 +1,8 @@
 """`wardstair-load`: open-loop load on one URL, with an HDR histogram.
 
-Requests start when they are due, whether or not earlier ones have ended, and
-latency counts from when a request was due, so that a stall shows in full.
+Requests start at their scheduled times, whether or not earlier ones have
+ended. Latency is measured from the scheduled time, so that a stall counts for
+every request that it delays (no coordinated omission).
 """
 
 import asyncio
@@ -14,69 +15,78 @@
 from tornado.httpclient import HTTPClientError, HTTPRequest
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-MOST_MICROSECONDS = 60_000_000
-DIGITS = 3
-CLIENTS = 1000
-TIMEOUT_SECONDS = 30.0
+MAX_LATENCY_MICROSECONDS = 60_000_000
+SIGNIFICANT_DIGITS = 3
+MAX_CONCURRENT_REQUESTS = 1000
+REQUEST_TIMEOUT_SECONDS = 30.0
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 _MICROSECONDS = 1_000_000
 _MILLISECONDS = 1000
 
 
 @dataclass
-class Found:
-    """What the load found."""
+class LoadResult:
+    """The results of a run.
+
+    Attributes:
+        statuses: Number of responses by HTTP status; 0 for failed requests.
+        histogram: Latencies in microseconds.
+    """
 
     statuses: Counter[int] = field(default_factory=Counter)
     histogram: HdrHistogram = field(
-        default_factory=lambda: HdrHistogram(1, MOST_MICROSECONDS, DIGITS),
+        default_factory=lambda: HdrHistogram(
+            1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS
+        ),
     )
 
 
 def load(url: str, rate: float = 100, seconds: float = 10) -> None:
-    """Send GET requests at a steady rate and print what came of them.
+    """Send GET requests at a constant rate; print statuses and latencies.
 
     Args:
-        url: Absolute URL of loopback or of a deployment of your own.
-        rate: Requests a second.
-        seconds: How long.
+        url: Absolute URL on loopback or of a deployment of your own.
+        rate: Requests per second.
+        seconds: Duration of the run.
     """
-    found = asyncio.run(_run(url, rate, seconds))
-    for status, count in sorted(found.statuses.items()):
+    load_result = asyncio.run(_run(url, rate, seconds))
+    for status, count in sorted(load_result.statuses.items()):
         print(f'status {status}: {count}')
     for quantile in QUANTILES:
-        micros = found.histogram.get_value_at_percentile(quantile)
-        print(f'p{quantile:g}: {micros / _MILLISECONDS:.2f} ms')
+        microseconds = load_result.histogram.get_value_at_percentile(quantile)
+        print(f'p{quantile:g}: {microseconds / _MILLISECONDS:.2f} ms')
 
 
-async def _run(url: str, rate: float, seconds: float) -> Found:
-    client = SimpleAsyncHTTPClient(force_instance=True, max_clients=CLIENTS)
-    found = Found()
+async def _run(url: str, rate: float, seconds: float) -> LoadResult:
+    client = SimpleAsyncHTTPClient(
+        force_instance=True, max_clients=MAX_CONCURRENT_REQUESTS
+    )
+    load_result = LoadResult()
     started = time.monotonic()
     async with asyncio.TaskGroup() as requests:
         for number in range(int(rate * seconds)):
             due = started + number / rate
             await asyncio.sleep(max(due - time.monotonic(), 0))
-            requests.create_task(_send(client, url, due, found))
+            requests.create_task(_send(client, url, due, load_result))
     client.close()
-    return found
+    return load_result
 
 
 async def _send(
     client: SimpleAsyncHTTPClient,
     url: str,
     due: float,
-    found: Found,
+    load_result: LoadResult,
 ) -> None:
-    request = HTTPRequest(url, request_timeout=TIMEOUT_SECONDS)
+    request = HTTPRequest(url, request_timeout=REQUEST_TIMEOUT_SECONDS)
     try:
         response = await client.fetch(request, raise_error=False)
     except (OSError, HTTPClientError):
-        found.statuses[0] += 1
+        load_result.statuses[0] += 1
         return
-    found.statuses[response.code] += 1
-    micros = int((time.monotonic() - due) * _MICROSECONDS)
-    found.histogram.record_value(max(micros, 1))
+    load_result.statuses[response.code] += 1
+    microseconds = int((time.monotonic() - due) * _MICROSECONDS)
+    load_result.histogram.record_value(max(microseconds, 1))
 
 
 def main() -> None:
--- a/src/wardstair/cli/operator.py
+++ b/src/wardstair/cli/operator.py
@@ -1,4 +1,4 @@
-"""Client of the operators' listeners of entry hosts."""
+"""Client for the operators' listeners of entry hosts."""
 
 import asyncio
 import json
@@ -8,18 +8,18 @@
 from tornado.httpclient import HTTPClientError, HTTPRequest
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
-ASK_SECONDS = 5.0
-ORDER_SECONDS = 20.0
+QUERY_TIMEOUT_SECONDS = 5.0
+ORDER_TIMEOUT_SECONDS = 20.0
 
 
 @dataclass(frozen=True)
 class HostAnswer:
-    """What one host answered.
+    """The answer of one host.
 
     Attributes:
         host: Address of its operators' listener.
-        status: HTTP status, or 599 if it did not answer.
-        content: The JSON value, or a text that says what went wrong.
+        status: HTTP status, or 599 if the host did not answer.
+        content: The decoded JSON body, or a description of the failure.
     """
 
     host: str
@@ -28,60 +28,71 @@
 
     @property
     def is_good(self) -> bool:
-        """Whether the host answered the question."""
+        """Whether the host answered with success."""
         return self.status == 200
 
 
 class OperatorClient:
-    """Asks and orders through entry hosts."""
+    """Sends queries and orders to entry hosts."""
 
     def __init__(self, hosts: list[str], token: str) -> None:
-        """Prepare a client.
+        """Create a client.
 
         Args:
-            hosts: Addresses of operators' listeners, by preference.
+            hosts: Addresses of operators' listeners, in order of preference.
             token: The operator's token, or empty.
         """
         self._hosts = hosts
         self._token = token
 
     def ask_all(self, path: str) -> list[HostAnswer]:
-        """Ask all hosts at once."""
-        return asyncio.run(self._ask_all(path))
+        """Query all hosts concurrently.
+
+        Args:
+            path: Path of the query.
+        """
+        return asyncio.run(self._query_all(path))
 
     def ask_first(self, path: str) -> HostAnswer:
-        """Ask the hosts in turn until one answers."""
-        return asyncio.run(self._first(path, None))
+        """Query the hosts in turn until one answers.
+
+        Args:
+            path: Path of the query.
+        """
+        return asyncio.run(self._send_to_first(path, None))
 
     def order(self, order: dict[str, Any]) -> HostAnswer:
-        """Give an order through the first host that answers.
+        """Send an order to the hosts in turn until one answers.
 
-        The order's key makes it safe to give it again through another host
-        after one that did not answer.
+        The idempotency key of the order makes it safe to send it to another
+        host after one that did not answer.
+
+        Args:
+            order: The order as JSON values, with its key.
         """
-        return asyncio.run(self._first('/v1/order', json.dumps(order)))
+        return asyncio.run(self._send_to_first('/v1/order', json.dumps(order)))
 
-    async def _ask_all(self, path: str) -> list[HostAnswer]:
+    async def _query_all(self, path: str) -> list[HostAnswer]:
         client = SimpleAsyncHTTPClient(force_instance=True, max_clients=64)
         try:
-            asked = [self._ask(client, host, path) for host in self._hosts]
-            return list(await asyncio.gather(*asked))
+            answers = [self._send(client, host, path) for host in self._hosts]
+            return list(await asyncio.gather(*answers))
         finally:
             client.close()
 
-    async def _first(self, path: str, body: str | None) -> HostAnswer:
+    async def _send_to_first(self, path: str, body: str | None) -> HostAnswer:
         client = SimpleAsyncHTTPClient(force_instance=True)
-        answer = HostAnswer('', 599, 'no host is named; use --hosts')
+        answer = HostAnswer('', 599, 'no address given; use --hosts')
         try:
             for host in self._hosts:
-                answer = await self._ask(client, host, path, body)
+                answer = await self._send(client, host, path, body)
                 if answer.status != 599:
                     return answer
             return answer
         finally:
             client.close()
 
-    async def _ask(
+    async def _send(
         self,
         client: SimpleAsyncHTTPClient,
         host: str,
@@ -93,8 +104,10 @@
             method='GET' if body is None else 'POST',
             body=body,
             headers={'Authorization': f'Bearer {self._token}'},
-            connect_timeout=ASK_SECONDS,
-            request_timeout=ASK_SECONDS if body is None else ORDER_SECONDS,
+            connect_timeout=QUERY_TIMEOUT_SECONDS,
+            request_timeout=QUERY_TIMEOUT_SECONDS
+            if body is None
+            else ORDER_TIMEOUT_SECONDS,
         )
         try:
             response = await client.fetch(request, raise_error=False)
--- a/src/wardstair/cli/quickstart.py
+++ b/src/wardstair/cli/quickstart.py
@@ -1,4 +1,4 @@
-"""`wardstair-quickstart`: a whole deployment in one process, used once."""
+"""`wardstair-quickstart`: runs a whole deployment in one process as a demo."""
 
 import asyncio
 import json
@@ -16,14 +16,20 @@
 from wardstair.standins.deployment import Deployment
 from wardstair.version.document import SteeringDocument, read_document
 
-UPLOAD_PIECES = 40
-PIECE_BYTES = 65536
-WIDTHS = (34, 8, 60)
+UPLOAD_CHUNKS = 40
+CHUNK_BYTES = 65536
+COLUMN_WIDTHS = (34, 8, 60)
 
 
 @dataclass(frozen=True)
 class Step:
-    """One row of the table at the end."""
+    """A request or query of the demo, shown as a row of the final table.
+
+    Attributes:
+        what: Description of the request.
+        status: HTTP status of the response.
+        outcome: Summary of the response.
+    """
 
     what: str
     status: int
@@ -34,7 +40,7 @@
     """Run a deployment on loopback and send a few requests through it.
 
     Args:
-        configuration: Path of a steering configuration, such as
+        configuration: Path of a steering configuration file, such as
             examples/palermo.toml.
         log_level: Lowest level of events to log.
     """
@@ -56,25 +62,25 @@
     await deployment.start()
     client = SimpleAsyncHTTPClient(force_instance=True)
     try:
-        return [step async for step in _use(deployment, client)]
+        return [step async for step in _send_requests(deployment, client)]
     finally:
         client.close()
         await deployment.stop()
 
 
-async def _use(
+async def _send_requests(
     deployment: Deployment,
     client: SimpleAsyncHTTPClient,
 ) -> AsyncIterator[Step]:
-    first = deployment.document.hosts[0].name
+    first_host = deployment.document.hosts[0].name
     for workload in deployment.document.workloads:
         path = f'/v1/lookup?workload={workload.name}'
-        looked_up = await client.fetch(deployment.url(first, path))
-        answer = json.loads(looked_up.body)
+        lookup = await client.fetch(deployment.url(first_host, path))
+        answer = json.loads(lookup.body)
         names = [host['name'] for host in answer['hosts'][:2]]
         yield Step(
-            f'look-up of {workload.name}',
-            looked_up.code,
+            f'lookup of {workload.name}',
+            lookup.code,
             f'version {answer["version"]}, use {", ".join(names)}',
         )
         for route in workload.routes:
@@ -89,17 +95,17 @@
             response = await client.fetch(request, raise_error=False)
             yield _step(request, response)
             if route.repeat == 'once':
-                again = await client.fetch(request, raise_error=False)
-                yield _step(request, again, 'repeated: ')
+                repeated = await client.fetch(request, raise_error=False)
+                yield _step(request, repeated, 'repeated: ')
     status = await client.fetch(
-        deployment.operator_url(first, '/v1/config-status'),
+        deployment.operator_url(first_host, '/v1/config-status'),
     )
     zones = json.loads(status.body)['zones']
-    in_force = min(zone['lowest'] for zone in zones.values())
+    lowest_version = min(zone['lowest'] for zone in zones.values())
     yield Step(
         'wardstairctl config status',
         status.code,
-        f'lowest version {in_force} in {len(zones)} zones',
+        f'lowest version {lowest_version} in {len(zones)} zones',
     )
 
 
@@ -114,8 +120,8 @@
 
 
 async def _produce_upload(write: Any) -> None:
-    for _ in range(UPLOAD_PIECES):
-        await write(b's' * PIECE_BYTES)
+    for _ in range(UPLOAD_CHUNKS):
+        await write(b's' * CHUNK_BYTES)
 
 
 def _step(
@@ -126,7 +132,7 @@
     path = '/' + request.url.split('/', 3)[3]
     content = json.loads(response.body)
     outcome = content.get('detail') or (
-        f'{content["upstream"]} took {content["body_bytes"]} bytes'
+        f'{content["upstream"]} received {content["body_bytes"]} bytes'
     )
     return Step(f'{request.method} {path}', response.code, prefix + outcome)
 
@@ -136,7 +142,8 @@
     rows.extend((step.what, str(step.status), step.outcome) for step in steps)
     for row in rows:
         cells = [
-            cell.ljust(width) for cell, width in zip(row, WIDTHS, strict=True)
+            cell.ljust(width)
+            for cell, width in zip(row, COLUMN_WIDTHS, strict=True)
         ]
         print(' '.join(cells).rstrip())
 
--- a/src/wardstair/cli/shift_commands.py
+++ b/src/wardstair/cli/shift_commands.py
@@ -9,7 +9,11 @@
     """Capped moves of traffic: start, status, stop."""
 
     def __init__(self, context: Context) -> None:
-        """Share the context."""
+        """Create the commands.
+
+        Args:
+            context: Hosts, output format and operator to use.
+        """
         self._context = context
 
     def start(
@@ -23,19 +27,19 @@
         dry_run: bool = False,
         force: bool = False,
     ) -> None:
-        """Start a shift, or change the cap of one.
+        """Start a shift, or change the cap of an existing one.
 
         Example: wardstairctl shift start choir --workload views
         --source palermo --target catania --cap 20 --dry_run
 
         Args:
             name: Name of the shift.
-            workload: Workload to move.
-            source: Region it moves from.
-            target: Region it moves to.
-            cap: Most requests in flight in the target.
-            key: Makes the order idempotent.
-            dry_run: Only forecast.
+            workload: Workload whose traffic moves.
+            source: Region that the traffic comes from.
+            target: Region that the traffic goes to.
+            cap: Maximum number of moved requests in flight in the target.
+            key: Idempotency key; an order with the same key is applied once.
+            dry_run: Only forecast the effect.
             force: Start in spite of a bad forecast.
         """
         shift = {
@@ -53,7 +57,12 @@
         )
 
     def stop(self, name: str, key: str = '') -> None:
-        """End a shift; what it brought finishes in peace."""
+        """End a shift; requests that it has already moved are completed.
+
+        Args:
+            name: Name of the shift.
+            key: Idempotency key; an order with the same key is applied once.
+        """
         self._context.order(
             {'verb': 'shift-stop', 'name': name},
             key=key,
@@ -62,7 +71,7 @@
         )
 
     def status(self) -> None:
-        """Print the shifts in force with their use of the cap."""
+        """Print the active shifts with their caps and requests in flight."""
         shifts = (self._context.first('/v1/config') or {}).get('shifts', [])
         answers = self._context.rows_of_all('/v1/status')
         rows = [
@@ -74,5 +83,5 @@
 
 def _in_use(answers: list[HostAnswer], shift: str) -> int:
     name = f'shift/{shift}'
-    ledgers = [one.content['ledgers'].get(name) for one in answers]
+    ledgers = [answer.content['ledgers'].get(name) for answer in answers]
     return sum(ledger['in_use'] for ledger in ledgers if ledger)
--- a/src/wardstair/cli/standin.py
+++ b/src/wardstair/cli/standin.py
@@ -1,4 +1,4 @@
-"""`wardstair-standin`: small fakes of outside systems, one role a process."""
+"""`wardstair-standin`: fakes of external systems, one role per process."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class Standin:
-    """Fakes for tests and trials; never for service."""
+    """Fakes of external systems for tests and trials, not for production."""
 
     def platform(self, port: int) -> None:
         """Serve the platform's object API from memory.
@@ -25,7 +25,7 @@
         Args:
             name: Name of the upstream.
             port: Port on loopback.
-            slots: Requests it says that it can serve at once.
+            slots: Number of concurrent requests that it claims to serve.
         """
         asyncio.run(_forever(UpstreamStandin(name, slots), port))
 
--- a/src/wardstair/cli/suspects.py
+++ b/src/wardstair/cli/suspects.py
@@ -1,4 +1,7 @@
-"""`wardstair-suspects`: the requests that ended upstreams, and lifting one."""
+"""`wardstair-suspects`: lists suspect requests and lifts the hold on one.
+
+A suspect is a request whose execution ended the process of an upstream.
+"""
 
 import json
 import sys
@@ -8,23 +11,24 @@
 
 from wardstair.cli.tables import print_rows
 
-# An entry host answers from memory.
-ANSWER_SECONDS = 2.0
+# Short, since an entry host answers from memory.
+REQUEST_TIMEOUT_SECONDS = 2.0
 
 
 def suspects(host: str, lift: str = '', *, as_json: bool = False) -> None:
-    """Show what entry hosts know of requests that ended upstreams.
+    """List the suspect requests that the entry hosts have recorded.
 
     Args:
-        host: `ip:port` of any entry host, the first of its fleet ports.
-        lift: A request, as `content` names it, that is to be served again.
+        host: Address `ip:port` of any entry host, with the first of its fleet
+            ports.
+        lift: Value of `content` of a request to serve again.
         as_json: Print JSON instead of a table.
     """
     path = f'/{lift}' if lift else ''
     request = HTTPRequest(
         f'http://{host}/v1/suspects{path}',
         method='DELETE' if lift else 'GET',
-        request_timeout=ANSWER_SECONDS,
+        request_timeout=REQUEST_TIMEOUT_SECONDS,
     )
     client = HTTPClient()
     try:
@@ -36,7 +40,7 @@
         print(f'{host}: {reason}', file=sys.stderr)
         sys.exit(1)
     if lift:
-        print(f'{lift} is served again, within seconds on all hosts')
+        print(f'{lift} is lifted; all hosts serve it again within seconds')
         return
     print_rows(json.loads(response.body), as_json=as_json)
 
--- a/src/wardstair/cli/tables.py
+++ b/src/wardstair/cli/tables.py
@@ -1,4 +1,4 @@
-"""Prints answers as tables for people or as JSON for programs."""
+"""Prints rows as a text table or as JSON."""
 
 import json
 import sys
@@ -7,10 +7,10 @@
 
 
 def print_rows(rows: Sequence[dict[str, Any]], *, as_json: bool) -> None:
-    """Print rows with the columns of the first one.
+    """Print rows as a table with the keys of the first row as columns.
 
     Args:
-        rows: Rows of equal keys.
+        rows: Rows with equal keys.
         as_json: Print JSON instead of a table.
     """
     if as_json:
@@ -19,20 +19,21 @@
     if not rows:
         print('nothing to show')
         return
-    head = list(rows[0])
-    cells = [head, *([str(row[name]) for name in head] for row in rows)]
+    columns = list(rows[0])
+    lines = [columns, *([str(row[name]) for name in columns] for row in rows)]
     widths = [
-        max(len(row[column]) for row in cells) for column, _ in enumerate(head)
+        max(len(line[column]) for line in lines)
+        for column, _ in enumerate(columns)
     ]
-    for row in cells:
+    for line in lines:
         padded = [
-            cell.ljust(width) for cell, width in zip(row, widths, strict=True)
+            cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         ]
         print('  '.join(padded).rstrip())
 
 
 def print_missing(hosts: Sequence[str]) -> None:
-    """Tell on standard error which hosts did not answer."""
+    """Print to standard error the hosts that did not answer."""
     for host in hosts:
         print(f'no answer from {host}', file=sys.stderr)
 
@@ -41,7 +42,12 @@
     rows: Sequence[dict[str, Any]],
     filters: dict[str, str | None],
 ) -> list[dict[str, Any]]:
-    """Return the rows that match all filters that are set."""
+    """Return the rows that match all filters.
+
+    Args:
+        rows: Rows to filter.
+        filters: Wanted value by key; empty values do not filter.
+    """
     wanted = {name: text for name, text in filters.items() if text}
     return [
         row
