--- a/tests/unit/test_objects.py
+++ b/tests/unit/test_objects.py
@@ -44,10 +44,10 @@
     missing: str,
 ) -> None:
     complete = configuration_spec(1)
-    assert not decode_configuration(stored(complete)).gaps
-    assert decode_configuration(stored(without(complete, missing))).gaps == (
-        missing,
-    )
+    assert not decode_configuration(stored(complete)).defaulted_fields
+    assert decode_configuration(
+        stored(without(complete, missing))
+    ).defaulted_fields == (missing,)
 
 
 @pytest.mark.parametrize(
