--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -186,7 +186,7 @@
     count = zones * hosts
     for model in fleet.document.hosts:
         await fleet.start_host(model, control=fleet.control)
-    fleet.document = fleet.addressed()
+    fleet.document = fleet.with_addresses()
     await fleet.apply()
     if fleet.control:
         await fleet.wait_until(fleet.is_steady, 120)
--- a/src/wardstair/standins/deployment.py
+++ b/src/wardstair/standins/deployment.py
@@ -63,7 +63,7 @@
             self.upstreams[model.name] = upstream
         for host in self.document.hosts:
             await self.start_host(host)
-        self.document = self.addressed()
+        self.document = self.with_addresses()
         await self.apply()
         await self.wait_until(self._is_ready)
 
@@ -198,7 +198,7 @@
         )
         return checked.unwrap()
 
-    def addressed(self) -> SteeringDocument:
+    def with_addresses(self) -> SteeringDocument:
         """Return the configuration with the addresses in use."""
         content = self.document.model_dump(mode='json')
         for row in content['hosts']:
