--- a/src/wardstair/standins/__init__.py
+++ b/src/wardstair/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of outside systems for tests and trials."""
+"""Fakes of external systems for tests and benchmarks."""
--- a/src/wardstair/standins/deployment.py
+++ b/src/wardstair/standins/deployment.py
@@ -1,7 +1,7 @@
-"""A whole deployment as tasks of one process, on loopback.
+"""Runs a whole deployment as tasks of one process, on loopback.
 
-Stand-ins take the place of the platform and the upstreams; the entry hosts
-are the real ones, on real sockets with ports that the system chooses.
+Stand-ins replace the platform and the upstreams. The entry hosts are the
+real implementation and listen on ports that the operating system assigns.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class Deployment:
-    """Stand-ins and entry hosts of one steering configuration."""
+    """The stand-ins and entry hosts of one steering configuration."""
 
     def __init__(
         self,
@@ -38,13 +38,14 @@
         seed: int = 1,
         beat_seconds: float = 0.1,
     ) -> None:
-        """Prepare; nothing is started yet.
+        """Prepare the deployment without starting anything.
 
         Args:
-            document: The configuration; its addresses are replaced.
-            seed: Seed of all choices at random.
-            beat_seconds: Seconds between heartbeats; short by default, so
-                that small deployments are ready soon.
+            document: The configuration. `start` replaces its addresses by
+                those in use.
+            seed: Seed of all random choices.
+            beat_seconds: Seconds between heartbeats. The default is short so
+                that small deployments become ready quickly.
         """
         self.document = document
         self.platform = PlatformStandin()
@@ -55,7 +56,7 @@
         self._orders = 0
 
     async def start(self) -> None:
-        """Start everything and wait until all hosts can serve."""
+        """Start all stand-ins and hosts and wait until the hosts can serve."""
         self.platform.start()
         for model in self.document.upstreams:
             upstream = UpstreamStandin(model.name, model.slots)
@@ -68,7 +69,7 @@
         await self.wait_until(self._is_ready)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all hosts and stand-ins."""
         for host in self.hosts.values():
             await host.stop()
         for upstream in self.upstreams.values():
@@ -82,12 +83,13 @@
         control: bool = True,
         seeds: tuple[str, ...] = (),
     ) -> EntryHost:
-        """Start an entry host, or start it again with nothing.
+        """Start an entry host, or restart it without state.
 
         Args:
             model: The host.
-            control: Whether its control tasks run; off only to measure.
-            seeds: Peers to hear of a version from.
+            control: Whether its control tasks run. Benchmarks turn them off
+                to measure the cost of control.
+            seeds: Peers from which the host can fetch the configuration.
         """
         host = EntryHost(
             self._settings(model).model_copy(update={'seeds': seeds}),
@@ -99,22 +101,26 @@
         return host
 
     async def apply(self) -> int:
-        """Apply the configuration and return its version."""
+        """Apply the configuration and return the new version."""
         content = self.document.model_dump(mode='json')
         return await self.order(ApplyDocument(verb='apply', document=content))
 
     async def order(self, action: Action, key: str = '') -> int:
-        """Give an order and return the version that has it."""
+        """Execute an order and return the version that contains it.
+
+        Raises:
+            ConfigurationError: The order was rejected.
+        """
         self._orders += 1
         client = PlatformClient(self.platform.url, 2.0, 1000)
-        desk = OrderExecutor(client)
+        executor = OrderExecutor(client)
         order = Order(
             key=key or f'deployment-{self._orders}',
             operator='deployment',
             action=action,
         )
         try:
-            answer = await desk.execute(order)
+            answer = await executor.execute(order)
         finally:
             client.close()
         match answer:
@@ -126,16 +132,16 @@
 
     async def wait_until(
         self,
-        is_true: Callable[[], bool],
+        condition: Callable[[], bool],
         seconds: float = READY_SECONDS,
     ) -> None:
-        """Wait for a condition.
+        """Wait until a condition holds.
 
         Raises:
-            TimeoutError: It did not come true in time.
+            TimeoutError: The condition did not hold in time.
         """
         async with asyncio.timeout(seconds):
-            while not is_true():  # noqa: ASYNC110
+            while not condition():  # noqa: ASYNC110
                 await asyncio.sleep(POLL_SECONDS)
 
     async def wait_version(
@@ -143,7 +149,12 @@
         version: int,
         names: Iterable[str] | None = None,
     ) -> None:
-        """Wait until hosts have a version in force."""
+        """Wait until hosts have adopted a version or a later one.
+
+        Args:
+            version: The version.
+            names: The hosts to wait for; all hosts if None.
+        """
         chosen = list(self.hosts if names is None else names)
         await self.wait_until(
             lambda: all(
@@ -153,11 +164,11 @@
         )
 
     def url(self, name: str, path: str) -> str:
-        """Return a URL of a host's callers' listener."""
+        """Return a URL on a host's listener for callers."""
         return f'http://127.0.0.1:{self.hosts[name].ports.callers}{path}'
 
     def operator_url(self, name: str, path: str) -> str:
-        """Return a URL of a host's operators' listener."""
+        """Return a URL on a host's listener for operators."""
         return f'http://127.0.0.1:{self.hosts[name].ports.operators}{path}'
 
     def _settings(self, model: HostModel) -> EntrySettings:
@@ -199,7 +210,7 @@
         return checked.unwrap()
 
     def with_addresses(self) -> SteeringDocument:
-        """Return the configuration with the addresses in use."""
+        """Return a copy of the configuration with the addresses in use."""
         content = self.document.model_dump(mode='json')
         for row in content['hosts']:
             ports = self.hosts[row['name']].ports
@@ -215,11 +226,11 @@
 
     def _is_ready(self) -> bool:
         return all(
-            host.capacity.is_settled and self._knows_fleet(host)
+            host.capacity.is_settled and self._has_fleet_state(host)
             for host in self.hosts.values()
         )
 
-    def _knows_fleet(self, host: EntryHost) -> bool:
+    def _has_fleet_state(self, host: EntryHost) -> bool:
         topology = host.topology
         if topology is None:
             return False
@@ -227,9 +238,9 @@
         reported = sum(len(host.fleet.zones.hosts_of(zone)) for zone in zones)
         if reported < len(self.document.hosts):
             return False
-        if len(host.fleet.live_names()) <= self._zone_peers(host.me.name):
+        if len(host.fleet.live_names()) <= self._zone_peer_count(host.me.name):
             return False
-        # All slots are free at first, so a smaller count is an old one.
+        # All slots are free at the start, so a smaller count is outdated.
         return all(
             host.fleet.free_in_zone(zone, workload.name)
             == topology.slots(workload.name, zone)
@@ -237,6 +248,6 @@
             for workload in self.document.workloads
         )
 
-    def _zone_peers(self, name: str) -> int:
+    def _zone_peer_count(self, name: str) -> int:
         zones = {host.name: host.zone for host in self.document.hosts}
         return sum(zone == zones[name] for zone in zones.values()) - 1
--- a/src/wardstair/standins/platform.py
+++ b/src/wardstair/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's object API, in memory, with faults to order."""
+"""In-memory stand-in for the platform's object API, with injected faults."""
 
 import asyncio
 import json
@@ -15,15 +15,15 @@
 
 @dataclass
 class Faults:
-    """What the stand-in does wrong for now.
+    """The faults that the stand-in currently injects.
 
     Attributes:
-        down: Answer nothing but 503.
-        delay: Seconds added to each call.
-        lose_replies: How many writes to apply and answer 503.
-        late_watch: Seconds by which watches tell late.
-        duplicate_watch: Whether watches tell each change twice.
-        forget_watch: Whether watches answer 410.
+        down: Whether to answer all calls with 503.
+        delay: Delay of each call, in seconds.
+        lose_replies: Number of writes still to process and answer with 503.
+        late_watch: Delay of the answers of watches, in seconds.
+        duplicate_watch: Whether watches report each change twice.
+        forget_watch: Whether to answer watches with 410.
     """
 
     down: bool = False
@@ -53,7 +53,7 @@
 
 @dataclass
 class ObjectStore:
-    """The objects, with one revision over all changes."""
+    """The stored objects, with one revision number for all changes."""
 
     faults: Faults = field(default_factory=Faults)
     entries: dict[tuple[str, str], _Entry] = field(default_factory=dict)
@@ -65,7 +65,7 @@
 
     def list_kind(self, kind: str) -> list[_Entry]:
         """Return the objects of a kind."""
-        return [one for one in self.entries.values() if one.kind == kind]
+        return [entry for entry in self.entries.values() if entry.kind == kind]
 
     def put(
         self,
@@ -74,7 +74,7 @@
         value: Any,
         expected: int,
     ) -> _Entry | None:
-        """Store a value if the version matches, or return None."""
+        """Store a value if the version matches; return None otherwise."""
         entry = self.entries.get((kind, name))
         version = entry.version if entry else 0
         if version != expected:
@@ -82,20 +82,20 @@
         self.revision += 1
         stored = _Entry(kind, name, version + 1, self.revision, value)
         self.entries[kind, name] = stored
-        self._announce()
+        self._notify_watches()
         return stored
 
     def delete(self, kind: str, name: str, expected: int) -> bool:
-        """Delete an object if the version matches."""
+        """Delete an object if the version matches; return whether it did."""
         entry = self.entries.get((kind, name))
         if entry is None or entry.version != expected:
             return False
         self.entries.pop((kind, name))
         self.revision += 1
-        self._announce()
+        self._notify_watches()
         return True
 
-    def _announce(self) -> None:
+    def _notify_watches(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -133,7 +133,7 @@
         if len(self.request.body) > VALUE_BYTES:
             return self.fail(413)
         stored = self.store.put(kind, name, body['value'], body['expected'])
-        if self._loses_reply():
+        if self._drop_reply():
             return self.fail(503)
         if stored is None:
             return self.fail(409)
@@ -143,25 +143,25 @@
         self.store.writes += 1
         expected = int(self.get_query_argument('expected'))
         deleted = self.store.delete(kind, name, expected)
-        if self._loses_reply():
+        if self._drop_reply():
             return self.fail(503)
         return self.reply({}) if deleted else self.fail(409)
 
-    def _loses_reply(self) -> bool:
+    def _drop_reply(self) -> bool:
         if not self.store.faults.lose_replies:
             return False
         self.store.faults.lose_replies -= 1
         return True
 
 
-class _KindHandler(_StoreHandler):
+class _ObjectListHandler(_StoreHandler):
     def get(self, kind: str) -> None:
         self.store.reads += 1
         self.reply(
             {
                 'revision': self.store.revision,
                 'objects': [
-                    one.as_json() for one in self.store.list_kind(kind)
+                    entry.as_json() for entry in self.store.list_kind(kind)
                 ],
             }
         )
@@ -174,19 +174,19 @@
         seconds = float(self.get_query_argument('seconds'))
         if self.store.faults.forget_watch or since > self.store.revision:
             return self.fail(410)
-        news = await self._news(kind, since, seconds)
+        changes = await self._wait_for_changes(kind, since, seconds)
         if self.store.faults.late_watch:
             await asyncio.sleep(self.store.faults.late_watch)
         if self.store.faults.duplicate_watch:
-            news += news
+            changes += changes
         return self.reply(
             {
                 'revision': self.store.revision,
-                'objects': [one.as_json() for one in news],
+                'objects': [entry.as_json() for entry in changes],
             }
         )
 
-    async def _news(
+    async def _wait_for_changes(
         self,
         kind: str,
         since: int,
@@ -196,16 +196,16 @@
         end = loop.time() + seconds
         while True:
             changed = self.store.changed
-            news = [
-                one
-                for one in self.store.list_kind(kind)
-                if one.revision > since
+            changes = [
+                entry
+                for entry in self.store.list_kind(kind)
+                if entry.revision > since
             ]
-            left = end - loop.time()
-            if news or left <= 0:
-                return news
+            remaining = end - loop.time()
+            if changes or remaining <= 0:
+                return changes
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining):
                     await changed.wait()
             except TimeoutError:
                 return []
@@ -232,7 +232,7 @@
 
 
 class PlatformStandin(StandinServer):
-    """The object API on a socket of loopback."""
+    """Serves the object API on the loopback interface."""
 
     def __init__(self, store: ObjectStore | None = None) -> None:
         """Prepare the stand-in.
@@ -246,7 +246,7 @@
             Application(
                 [
                     ('/objects/([^/]+)/([^/]+)', _ObjectHandler, arguments),
-                    ('/objects/([^/]+)', _KindHandler, arguments),
+                    ('/objects/([^/]+)', _ObjectListHandler, arguments),
                     ('/watch/([^/]+)', _WatchHandler, arguments),
                     ('/hosts', _HostsHandler, arguments),
                     ('/faults', _FaultsHandler, arguments),
--- a/src/wardstair/standins/server.py
+++ b/src/wardstair/standins/server.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: an application on a socket of loopback."""
+"""HTTP server on the loopback interface, the base of all stand-ins."""
 
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
@@ -8,20 +8,20 @@
 
 
 class StandinServer:
-    """Serves an application until it is stopped."""
+    """Serves a tornado application until it is stopped."""
 
     def __init__(self, application: Application) -> None:
-        """Prepare the server; `start` opens its port."""
+        """Prepare the server without opening a port."""
         self.port = 0
         self._server = HTTPServer(application)
 
     @property
     def address(self) -> str:
-        """Address and port."""
+        """Address and port, as `address:port`."""
         return f'{LOOPBACK}:{self.port}'
 
     def start(self, port: int = 0) -> None:
-        """Listen on a port of loopback; 0 lets the system choose."""
+        """Listen on a loopback port; 0 lets the operating system choose."""
         sockets = bind_sockets(port, LOOPBACK)
         self.port = sockets[0].getsockname()[1]
         self._server.add_sockets(sockets)
@@ -33,4 +33,4 @@
 
 
 def log_nothing(_handler: RequestHandler) -> None:
-    """Keep tornado from logging each call in a form of its own."""
+    """Log function that turns off tornado's access log."""
--- a/src/wardstair/standins/upstream.py
+++ b/src/wardstair/standins/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in of an upstream: serves, streams, sheds, stalls, dies and lies."""
+"""Stand-in for an upstream, with configurable delays and faults."""
 
 import asyncio
 import json
@@ -15,18 +15,21 @@
 
 @dataclass
 class Behaviour:
-    """How the stand-in serves for now.
+    """How the stand-in currently serves requests.
 
     Attributes:
-        seconds: Time that a request takes.
-        shed: Refuse everything as not run.
+        seconds: Processing time of a request, in seconds.
+        shed: Refuse all requests with 503 and `Not-Run`.
         stall: Accept requests and never answer.
-        reset_before: Run requests, then close without an answer.
-        reset_after: Close in the middle of the answer.
-        foreign: Answer with another request's id.
-        leaving: Say in every answer that it is leaving.
-        load: Load to report; None reports the truth.
-        answer_bytes: Size of the answer's body; 0 for a short JSON one.
+        reset_before: Run requests, then close the connection without an
+            answer.
+        reset_after: Close the connection in the middle of the answer.
+        foreign: Answer with a `Request-Id` of another request.
+        leaving: Announce in each answer and health check that the upstream
+            is about to leave.
+        load: Load to report in health checks; the actual load if None.
+        answer_bytes: Size of the answer's body in bytes; 0 for a short JSON
+            document.
     """
 
     seconds: float = 0.0
@@ -42,15 +45,20 @@
 
 @dataclass
 class UpstreamState:
-    """What the stand-in saw.
+    """State of the stand-in and records of the requests it received.
 
     Attributes:
-        runs: How often each Idempotency-Key ran.
-        received: Requests received.
-        body_bytes: Bytes of all bodies.
-        in_flight: Requests in flight now.
-        peak: Most requests in flight at once.
-        cancelled: Requests whose connection closed before their answer.
+        name: Name of the upstream.
+        slots: Requests it can serve at once.
+        behaviour: How it currently serves requests.
+        runs: Number of runs of each `Idempotency-Key`.
+        received: Number of requests received.
+        body_bytes: Total size of all request bodies, in bytes.
+        in_flight: Requests currently in flight.
+        peak: Largest number of requests in flight at once.
+        cancelled: Requests whose connection closed before the answer.
+        deadlines: `Deadline-Ms` of each request that ran; empty if absent.
+        started: Set when the first request arrives.
     """
 
     name: str
@@ -71,9 +79,9 @@
 class _ServeHandler(RequestHandler):
     def initialize(self, state: UpstreamState) -> None:
         self.state = state
-        self.length = 0
+        self.received_bytes = 0
         self.counted = False
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     def prepare(self) -> None:
         state = self.state
@@ -85,7 +93,7 @@
         state.started.set()
 
     def data_received(self, chunk: bytes) -> None:
-        self.length += len(chunk)
+        self.received_bytes += len(chunk)
         self.state.body_bytes += len(chunk)
 
     async def get(self) -> None:
@@ -102,13 +110,13 @@
 
     def on_connection_close(self) -> None:
         self.state.cancelled += 1
-        self.gone.set()
-        self._uncount()
+        self.disconnected.set()
+        self._end_in_flight()
 
     def on_finish(self) -> None:
-        self._uncount()
+        self._end_in_flight()
 
-    def _uncount(self) -> None:
+    def _end_in_flight(self) -> None:
         if self.counted:
             self.counted = False
             self.state.in_flight -= 1
@@ -126,26 +134,26 @@
             self.state.runs[key] += 1
         self.state.deadlines.append(headers.get('Deadline-Ms', ''))
         if behaviour.stall:
-            await self.gone.wait()
+            await self.disconnected.wait()
             return
         if behaviour.seconds:
             await asyncio.sleep(behaviour.seconds)
         if behaviour.reset_before:
-            self._cut()
+            self._close_connection()
             return
         await self._answer(headers.get('Request-Id', ''))
 
     async def _answer(self, request_id: str) -> None:
         behaviour = self.state.behaviour
-        own = 'another-request' if behaviour.foreign else request_id
-        self.set_header('Request-Id', own)
+        answer_id = 'another-request' if behaviour.foreign else request_id
+        self.set_header('Request-Id', answer_id)
         if behaviour.leaving:
             self.set_header('Draining', 'true')
         if behaviour.reset_after:
             self.set_header('Content-Length', '1000')
             self.write(b'x' * 100)
             await self.flush()
-            self._cut()
+            self._close_connection()
             return
         if behaviour.answer_bytes:
             await self._stream(behaviour.answer_bytes)
@@ -154,24 +162,24 @@
             {
                 'upstream': self.state.name,
                 'target': self.request.uri,
-                'body_bytes': self.length,
+                'body_bytes': self.received_bytes,
                 'request': request_id,
             }
         )
 
     async def _stream(self, size: int) -> None:
         self.set_header('Content-Length', str(size))
-        piece = b'm' * 65536
+        block = b'm' * 65536
         while size:
-            part = piece[:size]
-            self.write(part)
+            chunk = block[:size]
+            self.write(chunk)
             try:
                 await self.flush()
             except StreamClosedError:
                 return
-            size -= len(part)
+            size -= len(chunk)
 
-    def _cut(self) -> None:
+    def _close_connection(self) -> None:
         stream = self.request.connection.stream  # type: ignore[union-attr]
         stream.close()
 
@@ -182,12 +190,12 @@
 
     def get(self) -> None:
         state = self.state
-        truth = state.in_flight / state.slots
+        actual_load = state.in_flight / state.slots
         load = state.behaviour.load
         self.finish(
             json.dumps(
                 {
-                    'load': truth if load is None else load,
+                    'load': actual_load if load is None else load,
                     'leaving': state.behaviour.leaving,
                 }
             ),
@@ -195,15 +203,15 @@
 
 
 class UpstreamStandin(StandinServer):
-    """An upstream on a socket of loopback."""
+    """Serves an upstream on the loopback interface."""
 
     def __init__(self, name: str, slots: int) -> None:
         """Prepare the stand-in.
 
         Args:
             name: Name of the upstream.
-            slots: Requests it can serve at once; it counts, but enforces
-                nothing, so that a test sees what it is sent.
+            slots: Requests it can serve at once. The stand-in counts requests
+                but enforces no limit, so that a test sees an excess.
         """
         self.state = UpstreamState(name, slots)
         arguments = {'state': self.state}
