--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Gives each scenario an event loop and a deployment of its own."""
+"""Gives each scenario its own event loop and deployment."""
 
 import asyncio
 import sys
@@ -11,19 +11,19 @@
 
 
 def before_all(context: Any) -> None:
-    """Log only what an operator should look at."""
+    """Log only errors."""
     configure_logging('ERROR')
 
 
 def before_scenario(context: Any, scenario: Any) -> None:
-    """Make the loop of a scenario."""
+    """Create the event loop of a scenario."""
     context.loop = asyncio.new_event_loop()
     asyncio.set_event_loop(context.loop)
     context.trial = None
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
-    """Stop the deployment and the loop."""
+    """Stop the deployment and close the event loop."""
     if context.trial is not None:
         context.trial.client.close()
         context.loop.run_until_complete(context.trial.deployment.stop())
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -1,4 +1,4 @@
-"""Steps of the scenarios about hosts together."""
+"""Steps of the scenarios that involve several hosts."""
 
 import asyncio
 from typing import Any
@@ -17,11 +17,11 @@
 
 
 def run(context: Any, work: Any) -> Any:
-    """Run a coroutine on the scenario's loop."""
+    """Run a coroutine on the scenario's event loop."""
     return context.loop.run_until_complete(work)
 
 
-@given('two regions with callers of the east')
+@given('two regions with callers in the east')
 def start_regions(context: Any) -> None:
     async def start() -> Trial:
         document = small_document(
@@ -64,7 +64,7 @@
 
 
 @given('one host that cannot reach the platform')
-def cut_host(context: Any) -> None:
+def cut_host_from_platform(context: Any) -> None:
     context.trial.deployment.hosts['west-a-2'].cut_platform()
 
 
@@ -73,9 +73,9 @@
     context.trial.deployment.platform.store.faults.down = True
 
 
-@when('{count:d} views are asked for at once in the west')
-def ask_west(context: Any, count: int) -> None:
-    async def ask() -> list[Any]:
+@when('{count:d} views are requested at once in the west')
+def request_views_in_west(context: Any, count: int) -> None:
+    async def request() -> list[Any]:
         upstream = context.trial.deployment.upstreams['views-west-a']
         upstream.state.behaviour = Behaviour(seconds=0.1)
         return await asyncio.gather(
@@ -89,10 +89,10 @@
             )
         )
 
-    context.answers = run(context, ask())
+    context.answers = run(context, request())
 
 
-@when('the print upstream is drained')
+@when('the orders upstream is drained')
 def drain_upstream(context: Any) -> None:
     deployment = context.trial.deployment
     context.old = deployment.hosts['west-a-1'].configuration.head
@@ -101,17 +101,21 @@
     run(context, deployment.wait_version(context.version))
 
 
-@when('an old version is told again')
-def tell_old(context: Any) -> None:
-    """Tell it, then bring a newer one: heads are adopted in turn."""
+@when('an old version is announced again')
+def announce_old_version(context: Any) -> None:
+    """Announce the old version, then order a newer one.
+
+    Hosts adopt announced versions in order, so once the newer one is in
+    force, the old one has been handled.
+    """
     deployment = context.trial.deployment
     old = context.old
-    late = HeadGive(1, old.base, old.blocks, old.command, old.operator)
+    outdated = HeadGive(1, old.base, old.blocks, old.command, old.operator)
     context.adopted = [
         record_versions(host) for host in deployment.hosts.values()
     ]
     for host in deployment.hosts.values():
-        host.configuration.on_head_give('west-a-1', late)
+        host.configuration.on_head_give('west-a-1', outdated)
     other = DrainModel(kind='upstream', name='views-west-a')
     order = StartDrain(verb='drain-start', drain=other)
     context.version = run(context, deployment.order(order))
@@ -119,7 +123,7 @@
 
 
 @then('no older version was adopted')
-def check_adopted(context: Any) -> None:
+def check_no_older_adopted(context: Any) -> None:
     assert context.adopted == [[context.version]] * 2
 
 
@@ -135,17 +139,17 @@
     run(context, replace())
 
 
-@then('never more than {cap:d} were in flight there')
-def check_cap(context: Any, cap: int) -> None:
+@then('at most {cap:d} were in flight there')
+def check_in_flight(context: Any, cap: int) -> None:
     state = context.trial.deployment.upstreams['views-west-a'].state
     assert 1 <= state.peak <= cap
 
 
-@then('what was refused did not run')
+@then('refused requests did not run')
 def check_refused(context: Any) -> None:
-    refused = [one for one in context.answers if one.code != 200]
+    refused = [answer for answer in context.answers if answer.code != 200]
     assert refused
-    assert all(one.headers['Not-Run'] == 'true' for one in refused)
+    assert all(answer.headers['Not-Run'] == 'true' for answer in refused)
     state = context.trial.deployment.upstreams['views-west-a'].state
     assert state.received == len(context.answers) - len(refused)
 
--- a/features/steps/requests.py
+++ b/features/steps/requests.py
@@ -10,11 +10,11 @@
 from wardstair.standins.deployment import Deployment
 from wardstair.standins.upstream import Behaviour
 
-PRINT = 'orders-west-a'
+ORDERS_UPSTREAM = 'orders-west-a'
 
 
 def run(context: Any, work: Any) -> Any:
-    """Run a coroutine on the scenario's loop."""
+    """Run a coroutine on the scenario's event loop."""
     return context.loop.run_until_complete(work)
 
 
@@ -30,15 +30,15 @@
     context.hosts = sorted(context.trial.deployment.hosts)
 
 
-@given('the print upstream loses its answers')
+@given('the orders upstream loses its answers')
 def lose_answers(context: Any) -> None:
-    upstream = context.trial.deployment.upstreams[PRINT]
+    upstream = context.trial.deployment.upstreams[ORDERS_UPSTREAM]
     upstream.state.behaviour = Behaviour(reset_before=True)
 
 
-@given('the print upstream sheds its load')
-def shed(context: Any) -> None:
-    upstream = context.trial.deployment.upstreams[PRINT]
+@given('the orders upstream sheds its load')
+def shed_load(context: Any) -> None:
+    upstream = context.trial.deployment.upstreams[ORDERS_UPSTREAM]
     upstream.state.behaviour = Behaviour(shed=True)
 
 
@@ -84,9 +84,9 @@
     context.answers = [run(context, upload())]
 
 
-@when('{count:d} views are asked for at once through all hosts')
-def ask_views(context: Any, count: int) -> None:
-    async def ask() -> list[Any]:
+@when('{count:d} views are requested at once through all hosts')
+def request_views(context: Any, count: int) -> None:
+    async def request() -> list[Any]:
         upstream = context.trial.deployment.upstreams['views-west-a']
         upstream.state.behaviour = Behaviour(seconds=0.01)
         return await asyncio.gather(
@@ -100,7 +100,7 @@
             )
         )
 
-    context.answers = run(context, ask())
+    context.answers = run(context, request())
 
 
 @then('all answers are the same')
@@ -112,12 +112,12 @@
 @then('the order ran {count:d} time')
 @then('the order ran {count:d} times')
 def check_runs(context: Any, count: int) -> None:
-    state = context.trial.deployment.upstreams[PRINT].state
+    state = context.trial.deployment.upstreams[ORDERS_UPSTREAM].state
     assert state.runs[context.key] == count
 
 
 @then('the answer is "{kind}"')
-def check_kind(context: Any, kind: str) -> None:
+def check_answer_kind(context: Any, kind: str) -> None:
     assert kind_of(context.answers[0]) == kind
 
 
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail excuses just these."""
+"""KNOWN-RED.txt excuses exactly the failing tests that it lists."""
 
 import pytest
 
@@ -18,7 +18,7 @@
         (GREEN, '\n', pytest.ExitCode.OK),
         (RED + GREEN, None, pytest.ExitCode.TESTS_FAILED),
         (RED + GREEN, LINE, pytest.ExitCode.OK),
-        # Only the row that is listed is excused, and a listed row must fail.
+        # A listed parameter set excuses only itself, and it must fail.
         (
             RED,
             LINE.replace('_red', '_red[1]'),
@@ -26,13 +26,13 @@
         ),
         (HALF_RED, LINE, pytest.ExitCode.TESTS_FAILED),
         (HALF_RED, LINE.replace('_red', '_red[2]'), pytest.ExitCode.OK),
-        # It passes while it is listed.
+        # A test that passes while it is listed fails the run.
         (
             GREEN,
             LINE.replace('_red', '_green'),
             pytest.ExitCode.TESTS_FAILED,
         ),
-        # Unless it fails in some runs only; others are not excused by that.
+        # "at times" allows a listed test to pass, but excuses no other test.
         (
             GREEN,
             LINE.replace('_red; a', '_green; at times: a'),
@@ -44,7 +44,7 @@
             LINE.replace('_red; a', '_green; at times: a'),
             pytest.ExitCode.TESTS_FAILED,
         ),
-        # It is not there; a field is missing; there are too many.
+        # The test does not exist, a field is missing, or too many are listed.
         (GREEN, LINE, pytest.ExitCode.USAGE_ERROR),
         (RED, f'{FILE}::test_red; a fault\n', pytest.ExitCode.USAGE_ERROR),
         (RED, LINE * 4, pytest.ExitCode.USAGE_ERROR),
