--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,8 +1,9 @@
-"""Measures the decisions: their time at the planned size, and the grants.
+"""Measures the time of decisions at the planned size, and token grants.
 
-Prints tables; nothing is asserted. The comparison of grants plays arrivals
-against the real ledgers with exponential times; a request that finds no token
-waits up to two seconds, as in the product.
+Prints tables and asserts nothing. The comparison of grants simulates requests
+on the real ledgers, with exponential times between arrivals and exponential
+service times. A request that finds no token waits up to two seconds, as on an
+entry host.
 """
 
 import gc
@@ -47,7 +48,7 @@
 
 ZONES = 62
 HOSTS = 20
-UPSTREAMS_A_ZONE = 80
+UPSTREAMS_PER_ZONE = 80
 HOLD_SECONDS = 6.0
 WAIT_SECONDS = 2.0
 LOAN_DELAY = 0.002
@@ -55,12 +56,12 @@
 MEAN_SECONDS = 0.1
 
 
-def timed(work: Callable[[], object], turns: int) -> float:
-    """Return the microseconds of one turn."""
+def timed(work: Callable[[], object], repetitions: int) -> float:
+    """Return the mean time of a call, in microseconds."""
     started = time.perf_counter()
-    for _ in range(turns):
+    for _ in range(repetitions):
         work()
-    return (time.perf_counter() - started) / turns * 1e6
+    return (time.perf_counter() - started) / repetitions * 1e6
 
 
 def time_choice() -> None:
@@ -80,7 +81,10 @@
 
 
 def time_policies() -> None:
-    """Time each policy: weights twice a second, a draw a request."""
+    """Time each policy.
+
+    An entry host computes weights twice a second and draws once a request.
+    """
     policies: dict[str, Policy] = {
         'nearest': Nearest(),
         'weighted': Weighted({f'z{number}': 1.0 for number in range(1200)}),
@@ -102,7 +106,7 @@
 
 
 def time_document() -> None:
-    """Time the adoption of a version of the planned size."""
+    """Time the adoption of a configuration version of the planned size."""
     zones = tuple(f'r{zone // 3}-{zone}' for zone in range(ZONES))
     document = small_document(zones=zones, hosts_a_zone=HOSTS)
     upstreams = tuple(
@@ -114,7 +118,7 @@
             slots=9,
         )
         for zone in zones
-        for number in range(UPSTREAMS_A_ZONE)
+        for number in range(UPSTREAMS_PER_ZONE)
     )
     document = document.model_copy(update={'upstreams': upstreams})
     package = pack(document, 'key', 'bench')
@@ -138,7 +142,7 @@
     tracemalloc.stop()
     print(
         f'a version with {ZONES * HOSTS} hosts and '
-        f'{ZONES * UPSTREAMS_A_ZONE} upstreams: part {size / 1000:.0f} KB, '
+        f'{ZONES * UPSTREAMS_PER_ZONE} upstreams: part {size / 1000:.0f} KB, '
         f'unpacked in {unpacking * 1000:.0f} ms, indexed in '
         f'{indexing * 1000:.0f} ms, {kept:.1f} MB kept, '
         f'{len(resources)} resources a zone',
@@ -147,7 +151,7 @@
 
 @dataclass
 class Sender:
-    """A host in the comparison of grants."""
+    """An entry host in the comparison of grants."""
 
     name: Identity
     ledger: Ledger
@@ -157,7 +161,14 @@
 
 @dataclass
 class Outcome:
-    """What a scheme served."""
+    """Results of a scheme.
+
+    Attributes:
+        served: Requests served.
+        late: Requests dropped after the longest wait.
+        waited: Total wait of the served requests, in seconds.
+        peak: Largest number of requests in service at once.
+    """
 
     served: int = 0
     late: int = 0
@@ -165,7 +176,7 @@
     peak: int = 0
 
 
-def play(
+def simulate(
     scheme: str,
     slots: int,
     hosts: int,
@@ -173,15 +184,16 @@
     skew: float,
     seed: int,
 ) -> Outcome:
-    """Play arrivals against a scheme.
+    """Simulate requests under an allocation scheme.
 
     Args:
         scheme: `perfect`, `static` or `ledger`.
-        slots: Slots of one upstream.
+        slots: Slots of the upstream.
         hosts: Hosts that send to it.
-        load: Offered load as a share of the slots.
-        skew: How many times more the first host gets than the last.
-        seed: Seed of arrivals and times.
+        load: Offered load as a fraction of the slots.
+        skew: Ratio of the arrival rate of the first host to that of the
+            last.
+        seed: Seed of arrival and service times.
     """
     random = Random(seed)
     shares = [
@@ -203,11 +215,11 @@
             sender.ledger = senders[0].ledger
     for token in range(slots):
         senders[token % hosts].ledger.adopt(token, 0.0, 0.0)
-    return _Game(scheme, senders, random).run()
+    return _Simulation(scheme, senders, random).run()
 
 
-class _Game:
-    """Events of one play, in order of time."""
+class _Simulation:
+    """Discrete-event simulation of one scheme."""
 
     def __init__(
         self,
@@ -223,11 +235,14 @@
         self.number = 0
         self.busy = 0
         self.loans = 0
-        self.patient: dict[int, dict[Identity, PendingLoanRequest]] = {}
+        self.pending_requests: dict[
+            int,
+            dict[Identity, PendingLoanRequest],
+        ] = {}
         self.next_borrow: dict[int, float] = {}
 
     def run(self) -> Outcome:
-        """Play to the end."""
+        """Process the events until the end of the simulated time."""
         for index, sender in enumerate(self.senders):
             self.push(self.random.expovariate(sender.rate), 'arrive', index)
         while self.events:
@@ -238,19 +253,19 @@
         return self.outcome
 
     def push(self, at: float, kind: str, index: int, token: int = 0) -> None:
-        """Add an event."""
+        """Schedule an event."""
         self.number += 1
         heapq.heappush(self.events, (at, self.number, kind, index, token))
 
     def arrive(self, now: float, index: int, _token: int) -> None:
-        """A request comes to a host."""
+        """Handle the arrival of a request at a host."""
         sender = self.senders[index]
         self.push(now + self.random.expovariate(sender.rate), 'arrive', index)
         sender.waiting.append(now)
         self.serve(now, index)
 
     def serve(self, now: float, index: int) -> None:
-        """Start what can start; borrow if something waits."""
+        """Start waiting requests while tokens last; borrow for the rest."""
         sender = self.senders[index]
         while sender.waiting:
             if now - sender.waiting[0] > WAIT_SECONDS:
@@ -266,58 +281,62 @@
             self.outcome.peak = max(self.outcome.peak, self.busy)
             ends = now + self.random.expovariate(1 / MEAN_SECONDS)
             self.push(ends, 'finish', index, slot.token)
-        is_asking = self.next_borrow.get(index, 0) > now
-        if sender.waiting and self.scheme == 'ledger' and not is_asking:
+        is_borrow_pending = self.next_borrow.get(index, 0) > now
+        if sender.waiting and self.scheme == 'ledger' and not is_borrow_pending:
             self.next_borrow[index] = now + 0.05
             self.push(now + LOAN_DELAY, 'borrow', index)
 
     def finish(self, now: float, index: int, token: int) -> None:
-        """A request ends; its token goes back."""
+        """Handle the end of a request and put its token back."""
         self.busy -= 1
         sender = self.senders[index]
-        keeps = bool(sender.waiting)
-        back = sender.ledger.put_back(token, now, keeps_loans=keeps)
+        keeps_loans = bool(sender.waiting)
+        back = sender.ledger.put_back(token, now, keeps_loans=keeps_loans)
         if back is not None:
-            self.take_back(now, back)
-        self.hand_on(now, index)
-        turns = range(len(self.senders))
-        for turn in turns if self.scheme == 'perfect' else (index,):
-            self.serve(now, turn)
-
-    def take_back(self, now: float, back: LoanReturn) -> None:
-        """Return a loan; its owner gives it on or uses it."""
+            self.process_return(now, back)
+        self.lend_freed_token(now, index)
+        indices = range(len(self.senders))
+        for host in indices if self.scheme == 'perfect' else (index,):
+            self.serve(now, host)
+
+    def process_return(self, now: float, back: LoanReturn) -> None:
+        """Return tokens to their owner, which lends or uses them."""
         lender = int(back.lender.name)
         self.senders[lender].ledger.reclaim(back.loan, back.tokens)
-        self.hand_on(now, lender)
+        self.lend_freed_token(now, lender)
         self.serve(now, lender)
 
-    def hand_on(self, now: float, index: int) -> None:
-        """Give a token that came free to the longest queue that asks."""
+    def lend_freed_token(self, now: float, index: int) -> None:
+        """Lend a freed token to the longest queue with a pending request."""
         owner = self.senders[index]
-        asks = self.patient.get(index, {})
-        chosen = choose_loan_request(asks.values(), len(owner.waiting), now)
+        requests = self.pending_requests.get(index, {})
+        chosen = choose_loan_request(requests.values(), len(owner.waiting), now)
         if chosen is None:
             return
         self.loans += 1
         offer = owner.ledger.lend(chosen.borrower, 1, str(self.loans), now)
         if offer is None:
             return
-        asks.pop(chosen.borrower)
-        asker = int(chosen.borrower.name)
-        self.senders[asker].ledger.accept(owner.name, offer, now - LOAN_DELAY)
-        self.push(now + LOAN_DELAY / 2, 'retry', asker)
+        requests.pop(chosen.borrower)
+        borrower = int(chosen.borrower.name)
+        self.senders[borrower].ledger.accept(
+            owner.name,
+            offer,
+            now - LOAN_DELAY,
+        )
+        self.push(now + LOAN_DELAY / 2, 'retry', borrower)
 
     def retry(self, now: float, index: int, _token: int) -> None:
-        """Use a token that came by a patient question."""
+        """Use a token lent in answer to a pending loan request."""
         self.serve(now, index)
 
     def borrow(self, now: float, index: int, _token: int) -> None:
-        """Ask the others, those with the most idle tokens first."""
+        """Request tokens from the others, most idle tokens first."""
         sender = self.senders[index]
         if not sender.waiting:
             return
         for returned in sender.ledger.expire(now):
-            self.take_back(now, returned)
+            self.process_return(now, returned)
         others = sorted(
             (one for one in self.senders if one is not sender),
             key=lambda one: -len(one.ledger.idle_owned),
@@ -336,14 +355,14 @@
             if offer is not None:
                 sender.ledger.accept(other.name, offer, now - LOAN_DELAY)
                 break
-        self.serve_or_ask_again(now, index)
+        self.serve_or_request_loans(now, index)
 
-    def ask_patiently(self, now: float, index: int) -> None:
-        """Leave a question with three others, as the product does."""
+    def leave_loan_requests(self, now: float, index: int) -> None:
+        """Leave a loan request with three others, as an entry host does."""
         sender = self.senders[index]
-        others = [turn for turn, _ in enumerate(self.senders) if turn != index]
+        others = [peer for peer, _ in enumerate(self.senders) if peer != index]
         for other in self.random.sample(others, min(3, len(others))):
-            self.patient.setdefault(other, {})[sender.name] = (
+            self.pending_requests.setdefault(other, {})[sender.name] = (
                 PendingLoanRequest(
                     sender.name,
                     '',
@@ -353,13 +372,16 @@
             )
         self.push(now + 1.0, 'borrow', index)
 
-    def serve_or_ask_again(self, now: float, index: int) -> None:
-        """Use what came; the product asks again after 50 ms."""
+    def serve_or_request_loans(self, now: float, index: int) -> None:
+        """Use the borrowed tokens, or leave loan requests if they run out.
+
+        An entry host requests loans again after 50 ms.
+        """
         sender = self.senders[index]
         while sender.waiting:
             slot = sender.ledger.take(now)
             if slot is None:
-                self.ask_patiently(now, index)
+                self.leave_loan_requests(now, index)
                 return
             self.outcome.waited += now - sender.waiting.popleft()
             self.outcome.served += 1
@@ -390,13 +412,14 @@
         row = f'  {slots:4} {hosts:3} {load:4} {skew:3}'
         perfect = 0
         for scheme in ('perfect', 'static', 'ledger'):
-            found = [
-                play(scheme, slots, hosts, load, skew, seed) for seed in (1, 2)
+            outcomes = [
+                simulate(scheme, slots, hosts, load, skew, seed)
+                for seed in (1, 2)
             ]
-            served = sum(one.served for one in found)
+            served = sum(one.served for one in outcomes)
             perfect = perfect or served
-            wait = sum(one.waited for one in found) / max(served, 1) * 1000
-            peak = max(one.peak for one in found)
+            wait = sum(one.waited for one in outcomes) / max(served, 1) * 1000
+            peak = max(one.peak for one in outcomes)
             row += f'  {scheme} {served / perfect:6.1%} {wait:6.0f} {peak:3}'
         print(row, flush=True)
 
--- a/bench/news_age.py
+++ b/bench/news_age.py
@@ -1,11 +1,12 @@
-"""Plays troubles, alone and in pairs, and prints how old news gets.
+"""Simulates faults, alone and in pairs, and prints the age of state updates.
 
-    python bench/news_age.py 6 1,2,3               each trouble and each pair
-    python bench/news_age.py 6 1 0/2               the first half of them
-    python bench/news_age.py 85 1 store_cut+one_still ...      these only
+    python bench/news_age.py 6 1,2,3               each fault and each pair
+    python bench/news_age.py 6 1 0/2               every second case of these
+    python bench/news_age.py 85 1 store_cut+one_still ...      only these cases
 
-Hosts are 6, 12, 85 or 195. A row is printed as soon as its plays have ended.
-The chain of events follows where a figure is above `TOLD_SECONDS`.
+The arguments are the number of hosts (6, 12, 85 or 195), the seeds and the
+cases. A row is printed as soon as its simulations have ended. The events that
+led to the worst age follow if an age exceeds `EVENTS_FROM_SECONDS`.
 """
 
 import sys
@@ -20,19 +21,19 @@
     play_troubles,
 )
 
-# Zones in each of three regions, and hosts in each zone.
+# By fleet size: zones in each of three regions, and hosts in each zone.
 SIZES = {6: (2, 1), 12: (2, 2), 85: (3, 9), 195: (3, 22)}
-TOLD_SECONDS = 1.25
-TOLD_EVENTS = 30
+EVENTS_FROM_SECONDS = 1.25
+MAX_PRINTED_EVENTS = 30
 
 
 def main(hosts: int, seeds: list[int], cases: list[tuple[str, ...]]) -> None:
-    """Print the table.
+    """Simulate the cases and print a table.
 
     Args:
         hosts: Size of the fleet, one of `SIZES`.
-        seeds: Of the plays of each case.
-        cases: Names of the troubles that begin together.
+        seeds: Seeds of the simulations of each case.
+        cases: The cases, each the names of faults that begin together.
     """
     zones, in_zone = SIZES[hosts]
     print(f'| hosts {3 * zones * in_zone}: troubles | held | any | at, seed |')
@@ -44,13 +45,13 @@
         _print_row(case, outcomes)
 
 
-def _chosen(told: list[str]) -> list[tuple[str, ...]]:
-    if not told:
+def _select_cases(arguments: list[str]) -> list[tuple[str, ...]]:
+    if not arguments:
         return all_cases()
-    if '/' in told[0]:
-        part, parts = told[0].split('/')
+    if '/' in arguments[0]:
+        part, parts = arguments[0].split('/')
         return all_cases()[int(part) :: int(parts)]
-    return [tuple(one.split('+')) for one in told]
+    return [tuple(one.split('+')) for one in arguments]
 
 
 def _print_row(
@@ -60,11 +61,11 @@
     held = max(outcome.held.seconds for outcome, _ in outcomes)
     worst, seed = max(outcomes, key=lambda one: one[0].ran.seconds)
     age = worst.ran
-    told = f'{age.host} +{age.offset:.2f}, {seed}'
-    row = f'| {"+".join(case)} | {held:.2f} | {age.seconds:.2f} | {told} |'
+    place = f'{age.host} +{age.offset:.2f}, {seed}'
+    row = f'| {"+".join(case)} | {held:.2f} | {age.seconds:.2f} | {place} |'
     print(row, flush=True)
-    if max(held, age.seconds) > TOLD_SECONDS:
-        for line in worst.chain[:TOLD_EVENTS]:
+    if max(held, age.seconds) > EVENTS_FROM_SECONDS:
+        for line in worst.chain[:MAX_PRINTED_EVENTS]:
             print(f'    {line}', flush=True)
 
 
@@ -72,5 +73,5 @@
     main(
         int(sys.argv[1]),
         [int(one) for one in sys.argv[2].split(',')],
-        _chosen(sys.argv[3:]),
+        _select_cases(sys.argv[3:]),
     )
--- a/bench/request_path.py
+++ b/bench/request_path.py
@@ -1,8 +1,8 @@
-"""Measures look-ups, forwarding and memory of one entry host.
+"""Measures lookups, forwarding and memory of one entry host.
 
-Starts an entry host, an upstream and a load generator as processes of their
-own on loopback, so that each figure is of one core of one program. Prints a
-table; nothing is asserted.
+Runs the entry host, the upstream and the load generator as separate processes
+on loopback, so that each figure describes one program on one core. Prints a
+table and asserts nothing.
 """
 
 import asyncio
@@ -34,11 +34,16 @@
 CONNECTIONS = 16
 UPLOADS = 400
 SLOTS = 24
-MOST_MICROSECONDS = 60_000_000
+MAX_MICROSECONDS = 60_000_000
 
 
 def planned_table(blocks: int, seed: int) -> BlockTable:
-    """Return a table of blocks like those of the plan."""
+    """Return a random block table with a number of blocks.
+
+    Args:
+        blocks: Number of blocks.
+        seed: Seed of the boundaries and sites of the blocks.
+    """
     random = Random(seed)
     starts = sorted(random.sample(range(1, 1 << 24), blocks - 1))
     return BlockTable(
@@ -48,7 +53,7 @@
 
 
 async def serve(slots: int) -> None:
-    """Run an entry host with stand-ins and tell where it listens."""
+    """Run an entry host with stand-ins and print its port for callers."""
     configure_logging('ERROR')
     document = small_document(
         hosts_a_zone=1,
@@ -69,11 +74,11 @@
     for view in host.pool.views.values():
         view.model = view.model.model_copy(update={'address': upstream})
     print(json.dumps({'callers': host.ports.callers}), flush=True)
-    await report(host)
+    await report_usage(host)
 
 
-async def report(host: EntryHost) -> None:
-    """Answer each line of input with processor time and memory."""
+async def report_usage(host: EntryHost) -> None:
+    """Answer each line of input with processor time, memory and requests."""
     loop = asyncio.get_running_loop()
     while await loop.run_in_executor(None, sys.stdin.readline):
         usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -81,7 +86,7 @@
             json.dumps(
                 {
                     'cpu': usage.ru_utime + usage.ru_stime,
-                    'rss': resident(),
+                    'rss': resident_bytes(),
                     'open': host.open_requests,
                 }
             ),
@@ -89,14 +94,14 @@
         )
 
 
-def resident() -> int:
-    """Return the resident memory of this process in bytes."""
+def resident_bytes() -> int:
+    """Return the resident_bytes memory of this process, in bytes."""
     pages = int(Path('/proc/self/statm').read_text().split()[1])
     return pages * resource.getpagesize()
 
 
 async def upstream_main() -> None:
-    """Run the upstream."""
+    """Run the upstream and print its address."""
     from wardstair.standins.upstream import UpstreamStandin  # noqa: PLC0415
 
     standin = UpstreamStandin('bench', 1000)
@@ -106,13 +111,16 @@
 
 
 class Load:
-    """Closed-loop load over raw connections, cheap enough for one core."""
+    """Closed-loop load generator on raw connections.
+
+    Raw connections keep the cost low enough for one core.
+    """
 
     def __init__(self, address: str) -> None:
-        """Send to an address."""
+        """Prepare to send to an address."""
         self.host, _, port = address.rpartition(':')
         self.port = int(port)
-        self.histogram = HdrHistogram(1, MOST_MICROSECONDS, 3)
+        self.histogram = HdrHistogram(1, MAX_MICROSECONDS, 3)
         self.count = 0
 
     async def run(
@@ -121,7 +129,7 @@
         seconds: float,
         connections: int,
     ) -> float:
-        """Load for some seconds and return the requests a second."""
+        """Send requests for some seconds and return the rate per second."""
         end = time.monotonic() + seconds
         await asyncio.gather(
             *(self._loop(request, end, number) for number in range(connections))
@@ -156,7 +164,7 @@
 
 
 def lookup_request(number: int) -> bytes:
-    """Return a look-up on behalf of a caller."""
+    """Return a lookup request for a pseudo-random caller address."""
     spread = (number * 2654435761) % (1 << 32)
     address = '.'.join(str(spread >> shift & 255) for shift in (24, 16, 8, 0))
     target = f'/v1/lookup?workload=views&address={address}'
@@ -164,12 +172,12 @@
 
 
 def view_request(number: int) -> bytes:
-    """Return a view."""
+    """Return a request for a view."""
     return f'GET /parts/{number} HTTP/1.1\r\nHost: x\r\n\r\n'.encode()
 
 
 async def slow_uploads(port: int, count: int) -> list[asyncio.StreamWriter]:
-    """Open uploads that have sent a little and go on very slowly."""
+    """Open uploads that send 4 KiB of a 13 MB body and then pause."""
     writers = []
     for number in range(count):
         _, writer = await asyncio.open_connection('127.0.0.1', port)
@@ -182,11 +190,11 @@
     return writers
 
 
-class Entry:
-    """The entry host's process."""
+class EntryProcess:
+    """The process of the entry host."""
 
     def __init__(self, upstream: str) -> None:
-        """Start it."""
+        """Start the process and read its port for callers."""
         self.process = subprocess.Popen(
             [sys.executable, __file__, 'serve', upstream],
             stdin=subprocess.PIPE,
@@ -196,13 +204,13 @@
         self.port = int(self.read()['callers'])
 
     def read(self) -> dict[str, float]:
-        """Read one line of its output."""
+        """Read one line of the process's output."""
         assert self.process.stdout is not None
         found: dict[str, float] = json.loads(self.process.stdout.readline())
         return found
 
     def usage(self) -> dict[str, float]:
-        """Return its processor time and memory."""
+        """Return processor time, resident_bytes memory and open requests."""
         assert self.process.stdin is not None
         self.process.stdin.write('\n')
         self.process.stdin.flush()
@@ -210,12 +218,12 @@
 
 
 async def measured(
-    entry: Entry,
+    entry: EntryProcess,
     name: str,
     work: Callable[[Load], Awaitable[float]],
     address: str,
 ) -> Load:
-    """Run one load and print its row."""
+    """Run one load and print its row of the table."""
     load = Load(address)
     before = entry.usage()
     started = time.monotonic()
@@ -232,7 +240,7 @@
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Start the processes and run all measurements."""
     upstream = subprocess.Popen(  # noqa: ASYNC220
         [sys.executable, __file__, 'upstream'],
         stdout=subprocess.PIPE,
@@ -240,36 +248,40 @@
     )
     assert upstream.stdout is not None
     address = json.loads(upstream.stdout.readline())['address']
-    entry = Entry(address)
-    here = f'127.0.0.1:{entry.port}'
+    entry = EntryProcess(address)
+    host_address = f'127.0.0.1:{entry.port}'
     try:
-        await run_all(entry, here, address)
+        await run_all(entry, host_address, address)
     finally:
         entry.process.terminate()
         upstream.terminate()
 
 
-async def run_all(entry: Entry, here: str, upstream: str) -> None:
-    """Run all measurements."""
+async def run_all(
+    entry: EntryProcess,
+    host_address: str,
+    upstream: str,
+) -> None:
+    """Run all measurements and print their rows."""
     await measured(
         entry,
         f'look-ups, {BLOCKS} blocks',
         lambda load: load.run(lookup_request, SECONDS, CONNECTIONS),
-        here,
+        host_address,
     )
     await measured(
         entry,
         'look-ups, one connection',
         lambda load: load.run(lookup_request, SECONDS, 1),
-        here,
+        host_address,
     )
     await measured(
         entry,
         'forwarded views',
         lambda load: load.run(view_request, SECONDS, CONNECTIONS),
-        here,
+        host_address,
     )
-    for name, target in (('direct', upstream), ('forwarded', here)):
+    for name, target in (('direct', upstream), ('forwarded', host_address)):
         await measured(
             entry,
             f'{name} views, one connection',
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,12 +1,12 @@
-"""Measures what control costs, and fits it against the size of the fleet.
+"""Measures the cost of control and fits it to the size of the fleet.
 
-Each row of the table is a fleet of real entry hosts in a process of its own,
-started by this script, with the stand-ins in another process. The increment
-over the same hosts with control off is what control costs. Writes a table
-and a plot to docs/figures/.
+For each row of the table, the script runs a fleet of real entry hosts in one
+process and the stand-ins in another. The cost of control is the difference to
+the same hosts with control turned off. Writes a table and a plot to
+docs/figures/.
 
-    python bench/slopes.py            all rows
-    python bench/slopes.py quick      the smaller ones
+    python bench/slopes.py            all fleets
+    python bench/slopes.py quick      some smaller fleets
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 SETTLE_SECONDS = 4.0
 MEASURE_SECONDS = 10.0
 CHANGES = 12
-UPSTREAMS_A_HOST = 4
+UPSTREAMS_PER_HOST = 4
 FIGURES = ROOT / 'docs' / 'figures'
 FLEETS = [
     (1, 2),
@@ -62,7 +62,22 @@
 
 @dataclass(frozen=True)
 class Row:
-    """What one fleet cost, for each of its hosts."""
+    """Measurements of one fleet.
+
+    Attributes:
+        zones: Zones of the fleet.
+        hosts: Hosts in each zone.
+        control: Whether control was on.
+        cpu_percent: Processor time per host, in percent of a core.
+        sent_bytes: Bytes sent per host and second.
+        received_bytes: Bytes received per host and second.
+        messages: Messages sent per host and second.
+        platform_calls: Calls of the whole fleet to the platform per second.
+        rss_kb: Resident memory of the whole fleet, in KB.
+        change_median: Median time to adopt a change, in seconds.
+        change_worst: Longest time to adopt a change, in seconds.
+        change_cpu_ms: Processor time per change and host, in milliseconds.
+    """
 
     zones: int
     hosts: int
@@ -82,7 +97,13 @@
     """A deployment whose stand-ins run in another process."""
 
     def __init__(self, zones: int, hosts: int, *, control: bool) -> None:
-        """Prepare a fleet of a size."""
+        """Prepare a fleet.
+
+        Args:
+            zones: Number of zones.
+            hosts: Hosts in each zone.
+            control: Whether to run the control tasks of the hosts.
+        """
         names = tuple(f'r{zone // 3}-{zone}' for zone in range(zones))
         document = small_document(zones=names, hosts_a_zone=hosts)
         upstreams = tuple(
@@ -94,7 +115,7 @@
                 slots=(9, 6, 3)[number % 3],
             )
             for zone in names
-            for number in range(hosts * UPSTREAMS_A_HOST)
+            for number in range(hosts * UPSTREAMS_PER_HOST)
         )
         super().__init__(
             document.model_copy(update={'upstreams': upstreams}),
@@ -103,7 +124,7 @@
         self.control = control
 
     async def prepare(self, info: dict[str, Any]) -> None:
-        """Point everything at the stand-ins of the other process."""
+        """Use the addresses of the stand-ins in the other process."""
         self.platform.port = info['platform']
         models = tuple(
             model.model_copy(update={'address': info['upstream']})
@@ -112,12 +133,15 @@
         self.document = self.document.model_copy(update={'upstreams': models})
 
     def is_steady(self) -> bool:
-        """Return whether all hosts know the fleet and have tokens."""
+        """Return whether all hosts have the state of the fleet and tokens."""
         return self._is_ready()
 
 
-async def standins() -> None:
-    """Run the stand-ins and tell where they listen."""
+async def run_standins() -> None:
+    """Run the stand-ins and print their addresses.
+
+    Then print the number of platform calls for each line of input.
+    """
     platform = PlatformStandin()
     upstream = UpstreamStandin('bench', 9)
     platform.start()
@@ -130,11 +154,11 @@
         print(json.dumps(calls), flush=True)
 
 
-class Standins:
-    """The process of the stand-ins."""
+class StandinProcess:
+    """The process that runs the stand-ins."""
 
     def __init__(self) -> None:
-        """Start it."""
+        """Start the process and read the addresses of the stand-ins."""
         self.process = subprocess.Popen(
             [sys.executable, __file__, 'standins'],
             stdin=subprocess.PIPE,
@@ -145,7 +169,7 @@
         self.info = json.loads(self.process.stdout.readline())
 
     def calls(self) -> int:
-        """Return the calls on the platform so far."""
+        """Return the number of calls to the platform so far."""
         assert self.process.stdin is not None
         assert self.process.stdout is not None
         self.process.stdin.write('\n')
@@ -154,13 +178,13 @@
 
 
 def cpu_seconds() -> float:
-    """Return the processor time of this process."""
+    """Return the processor time of this process, in seconds."""
     usage = getrusage(RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
 
 
 def resident_kb() -> float:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process, in KB."""
     pages = int(Path('/proc/self/statm').read_text().split()[1])
     return pages * getpagesize() / 1024
 
@@ -168,18 +192,18 @@
 async def measure(zones: int, hosts: int, *, control: bool) -> Row:
     """Run one fleet and return its row."""
     configure_logging('ERROR')
-    others = Standins()
+    standin_process = StandinProcess()
     fleet = BenchFleet(zones, hosts, control=control)
-    await fleet.prepare(others.info)
+    await fleet.prepare(standin_process.info)
     try:
-        return await _measure(fleet, others, zones, hosts)
+        return await _measure(fleet, standin_process, zones, hosts)
     finally:
-        others.process.terminate()
+        standin_process.process.terminate()
 
 
 async def _measure(
     fleet: BenchFleet,
-    others: Standins,
+    standin_process: StandinProcess,
     zones: int,
     hosts: int,
 ) -> Row:
@@ -195,11 +219,11 @@
             await host.configuration.load()
     await asyncio.sleep(SETTLE_SECONDS)
     sent, received, messages = _traffic(fleet)
-    calls = others.calls()
+    calls = standin_process.calls()
     cpu = cpu_seconds()
     await asyncio.sleep(MEASURE_SECONDS)
     cpu = cpu_seconds() - cpu
-    calls = others.calls() - calls
+    calls = standin_process.calls() - calls
     sent_now, received_now, messages_now = _traffic(fleet)
     each = count * MEASURE_SECONDS
     rss = resident_kb()
@@ -236,7 +260,16 @@
     fleet: BenchFleet,
     idle: float,
 ) -> tuple[list[float], float]:
-    """Make changes; return how long each took and the processor time."""
+    """Make changes and measure them.
+
+    Args:
+        fleet: The fleet to change.
+        idle: Processor seconds per second that the fleet uses when idle.
+
+    Returns:
+        The time of each change and the mean processor time of a change
+        beyond idle use, in seconds.
+    """
     if not fleet.control:
         return [], 0
     drain = DrainModel(kind='upstream', name=fleet.document.upstreams[0].name)
@@ -248,10 +281,10 @@
             if number % 2
             else StartDrain(verb='drain-start', drain=drain)
         )
-        asked = time.monotonic()
+        ordered_at = time.monotonic()
         version = await fleet.order(action)
         await fleet.wait_version(version)
-        times.append(time.monotonic() - asked)
+        times.append(time.monotonic() - ordered_at)
         await asyncio.sleep(0.2)
     spent = cpu_seconds() - cpu - idle * (time.monotonic() - started)
     return times, spent / CHANGES
@@ -259,9 +292,9 @@
 
 def run_row(zones: int, hosts: int, *, control: bool) -> Row:
     """Measure one fleet in a fresh process."""
-    words = ['fleet', str(zones), str(hosts), 'on' if control else 'off']
+    arguments = ['fleet', str(zones), str(hosts), 'on' if control else 'off']
     done = subprocess.run(
-        [sys.executable, __file__, *words],
+        [sys.executable, __file__, *arguments],
         stdout=subprocess.PIPE,
         text=True,
         check=True,
@@ -271,36 +304,36 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """A plane fitted to a cost of each host."""
+    """A linear fit of a cost to hosts per zone and zones."""
 
     name: str
     unit: str
     base: float
-    a_host: float
-    a_zone: float
+    per_host: float
+    per_zone: float
     worst_residual: float
-    measured_most: float
+    largest_measured: float
 
     @property
     def at_plan(self) -> float:
         """The cost at the planned size."""
-        hosts = self.a_host * PLAN_HOSTS
-        return self.base + hosts + self.a_zone * PLAN_ZONES
+        hosts = self.per_host * PLAN_HOSTS
+        return self.base + hosts + self.per_zone * PLAN_ZONES
 
 
 def fit(name: str, unit: str, rows: list[Row], values: list[float]) -> Fit:
-    """Fit cost against hosts a zone and zones by least squares."""
+    """Fit a cost to hosts per zone and zones by least squares."""
     sizes = np.array([[1, row.hosts, row.zones] for row in rows], float)
     costs = np.array(values, float)
     found, *_ = np.linalg.lstsq(sizes, costs, rcond=None)
     residual = float(np.max(np.abs(sizes @ found - costs)))
-    base, a_host, a_zone = (float(number) for number in found)
+    base, per_host, per_zone = (float(number) for number in found)
     most = float(costs.max())
-    return Fit(name, unit, base, a_host, a_zone, residual, most)
+    return Fit(name, unit, base, per_host, per_zone, residual, most)
 
 
 def table_costs() -> list[str]:
-    """Measure the block table against the number of blocks."""
+    """Return a table of the costs of block tables of several sizes."""
     lines = ['blocks  look-up us  table MB  parts  parts MB  rebuild ms']
     random = Random(1)
     for blocks in (70_000, 275_000, 1_100_000):
@@ -323,7 +356,7 @@
 
 
 def main(sizes: list[tuple[int, int]]) -> None:
-    """Measure all fleets, fit and write."""
+    """Measure the fleets, fit the costs and write the results."""
     rows = []
     for zones, hosts in sizes:
         on = run_row(zones, hosts, control=True)
@@ -379,10 +412,10 @@
                 one.name,
                 one.unit,
                 f'{one.base:.4g}',
-                f'{one.a_host:.4g}',
-                f'{one.a_zone:.4g}',
+                f'{one.per_host:.4g}',
+                f'{one.per_zone:.4g}',
                 f'{one.worst_residual:.3g}',
-                f'{one.measured_most:.4g}',
+                f'{one.largest_measured:.4g}',
                 f'{one.at_plan:.4g}',
             ]
             for one in fits
@@ -402,7 +435,7 @@
 
 
 def plot(rows: list[Row], fits: list[Fit]) -> None:
-    """Draw measured against fitted cost for the first fits."""
+    """Plot measured against fitted costs for the first two fits."""
     import matplotlib as mpl  # noqa: PLC0415
 
     mpl.use('Agg')
@@ -415,7 +448,7 @@
     figure, axes = plt.subplots(1, 2, figsize=(10, 4))
     for axis, one, measured in zip(axes, fits, values, strict=False):
         fitted = [
-            one.base + one.a_host * row.hosts + one.a_zone * row.zones
+            one.base + one.per_host * row.hosts + one.per_zone * row.zones
             for row in rows
         ]
         axis.scatter(fitted, measured)
@@ -430,7 +463,7 @@
 if __name__ == '__main__':
     match sys.argv[1:]:
         case ['standins']:
-            asyncio.run(standins())
+            asyncio.run(run_standins())
         case ['fleet', zones, hosts, control]:
             found = asyncio.run(
                 measure(int(zones), int(hosts), control=control == 'on'),
