--- a/tests/functional/test_ctl.py
+++ b/tests/functional/test_ctl.py
@@ -17,8 +17,8 @@
 DOCUMENT = small_document(zones=('east-a', 'west-a'), slots=6)
 
 
-def use(commands: Callable[[Ctl], None]) -> Callable[[Trial], Any]:
-    """Return a trial that runs commands in a thread, as a person would."""
+def run_commands(commands: Callable[[Ctl], None]) -> Callable[[Trial], Any]:
+    """Return a test that runs commands in a thread, outside the event loop."""
 
     async def test(trial: Trial) -> None:
         hosts = ','.join(
@@ -31,7 +31,7 @@
 
 
 def last_json(capsys: pytest.CaptureFixture[str]) -> Any:
-    """Return the JSON that was printed last."""
+    """Return the JSON document that was printed last."""
     return json.loads(capsys.readouterr().out.splitlines()[-1])
 
 
@@ -55,7 +55,7 @@
     rows: int,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    run_trial(DOCUMENT, use(command))
+    run_trial(DOCUMENT, run_commands(command))
     assert len(last_json(capsys)) == rows
 
 
@@ -73,7 +73,7 @@
         ctl.shift.stop('choir')
         ctl.drain.stop('host', 'east-a-1')
 
-    run_trial(DOCUMENT, use(commands))
+    run_trial(DOCUMENT, run_commands(commands))
     lines = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
     assert [line['version'] for line in lines[:4]] == [2, 2, 3, 4]
     assert lines[1]['repeated'] is True
@@ -91,12 +91,12 @@
         lambda ctl: ctl.explain('nobody-knows'),
     ],
 )
-def test_what_cannot_be_done_is_refused(
+def test_impossible_commands_are_refused(
     command: Callable[[Ctl], None],
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     with pytest.raises(SystemExit) as ended:
-        run_trial(DOCUMENT, use(command))
+        run_trial(DOCUMENT, run_commands(command))
     assert ended.value.code == 1
     assert capsys.readouterr().err
 
@@ -108,7 +108,7 @@
         ctl.drain.start('zone', 'west-a', dry_run=True)
         ctl.drain.status()
 
-    run_trial(DOCUMENT, use(commands))
+    run_trial(DOCUMENT, run_commands(commands))
     lines = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
     assert any('DOES NOT FIT' in line for line in lines[0]['forecast'])
     assert lines[1] == []
@@ -118,7 +118,7 @@
     async def test(trial: Trial) -> None:
         key = await trial.new_key('west-a-1')
         assert (await trial.order('west-a-1', key)).code == 200
-        await use(lambda ctl: ctl.explain(key))(trial)
+        await run_commands(lambda ctl: ctl.explain(key))(trial)
 
     run_trial(DOCUMENT, test)
     found = json.loads(capsys.readouterr().out)
--- a/tests/functional/test_cut_off_hosts.py
+++ b/tests/functional/test_cut_off_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts that reach no upstream, while callers and other hosts reach them."""
+"""Hosts that reach no upstream while callers and other hosts reach them."""
 
 import asyncio
 import json
@@ -26,19 +26,19 @@
 )
 CALM_SECONDS = 1.0
 CUT_SECONDS = 6.0
-# For what was in force during the cut to be over.
-BACK_SECONDS = 2.0
-# Least share of first tries that are served, beside those at other hosts, and
-# of all right after the cut.
+# Time for the effects of the cut to end.
+RECOVERY_SECONDS = 2.0
+# Least share of first attempts that are served: relative to the share at other
+# hosts during the cut, and of all right after its start.
 LEAST_SHARE = 0.95
-# Work of upstreams that have become slower.
+# Response time of upstreams that have become slower.
 SLOW_SECONDS = 0.1
 
 Chosen = Callable[[CutFleet], list[GatewayHost]]
 
 
 def run(test: Callable[[CutFleet], Awaitable[None]]) -> None:
-    """Run a test on a fleet within a bound of time."""
+    """Run a test on a fleet with a time limit."""
 
     async def main() -> None:
         async with running_cut_fleet(BOUNDS) as fleet, asyncio.timeout(60):
@@ -59,8 +59,8 @@
     return fleet.hosts_of(*NORTH)
 
 
-def named(fleet: CutFleet) -> set[str]:
-    """Return what look-ups of all hosts name."""
+def looked_up_addresses(fleet: CutFleet) -> set[str]:
+    """Return the addresses that lookups at all hosts list."""
     return {
         address
         for host in fleet.hosts
@@ -92,7 +92,7 @@
 def test_callers_of_cut_off_hosts_are_served(chosen: Chosen, how: Cut) -> None:
     async def test(fleet: CutFleet) -> None:
         load = CutLoad(fleet)
-        seconds = CALM_SECONDS + CUT_SECONDS + 2 * BACK_SECONDS
+        seconds = CALM_SECONDS + CUT_SECONDS + 2 * RECOVERY_SECONDS
         playing = asyncio.ensure_future(load.play(seconds))
         await asyncio.sleep(CALM_SECONDS)
         cut = chosen(fleet)
@@ -102,8 +102,8 @@
         await asyncio.sleep(CUT_SECONDS)
         ended = time.monotonic()
         fleet.mend()
-        await asyncio.sleep(BACK_SECONDS)
-        all_named = named(fleet)
+        await asyncio.sleep(RECOVERY_SECONDS)
+        all_addresses = looked_up_addresses(fleet)
         await playing
         bound = began + BOUNDS.contact_seconds
         at_others = share(load.share(bound, ended, others))
@@ -111,14 +111,16 @@
         assert at_cut >= LEAST_SHARE * at_others
         assert share(load.share(began, bound, fleet.hosts)) >= LEAST_SHARE
         assert not load.ran_twice()
-        assert len(all_named) == len(fleet.hosts)
-        back = load.share(ended + BACK_SECONDS, time.monotonic(), fleet.hosts)
-        assert share(back) == 1.0
+        assert len(all_addresses) == len(fleet.hosts)
+        after_recovery = load.share(
+            ended + RECOVERY_SECONDS, time.monotonic(), fleet.hosts
+        )
+        assert share(after_recovery) == 1.0
 
     run(test)
 
 
-async def _work_longer(
+async def _answer_slowly(
     upstream: UpstreamStandin,
     seen: Seen,
     writer: asyncio.StreamWriter,
@@ -135,16 +137,17 @@
 ) -> None:
     async def test(fleet: CutFleet) -> None:
         load = CutLoad(fleet)
-        seconds = CALM_SECONDS + CUT_SECONDS + 2 * BACK_SECONDS
+        seconds = CALM_SECONDS + CUT_SECONDS + 2 * RECOVERY_SECONDS
         playing = asyncio.ensure_future(load.play(seconds))
         await asyncio.sleep(CALM_SECONDS)
         cut = chosen(fleet)
         others = [host for host in fleet.hosts if host not in cut]
         began = time.monotonic()
         fleet.cut(cut, how)
-        # More connections are needed than are open, which go on answering.
+        # Slow answers require more connections than are open. The open ones
+        # still work.
         for upstream in fleet.upstreams:
-            upstream.script = _work_longer
+            upstream.script = _answer_slowly
         await asyncio.sleep(CUT_SECONDS)
         ended = time.monotonic()
         fleet.mend()
@@ -155,13 +158,15 @@
         assert at_cut >= LEAST_SHARE * at_others
         assert share(load.share(began, bound, fleet.hosts)) >= LEAST_SHARE
         assert not load.ran_twice()
-        back = load.share(ended + BACK_SECONDS, time.monotonic(), fleet.hosts)
-        assert share(back) == 1.0
+        after_recovery = load.share(
+            ended + RECOVERY_SECONDS, time.monotonic(), fleet.hosts
+        )
+        assert share(after_recovery) == 1.0
 
     run(test)
 
 
-async def _work_for_long(
+async def _answer_after_a_second(
     upstream: UpstreamStandin,
     seen: Seen,
     writer: asyncio.StreamWriter,
@@ -170,10 +175,10 @@
     await answer_ok(upstream, seen, writer)
 
 
-def test_ends_that_a_cut_off_host_assumes_stay_at_home() -> None:
+def test_exits_that_a_cut_off_host_assumes_are_not_reported_to_others() -> None:
     async def test(fleet: CutFleet) -> None:
         for upstream in fleet.upstreams:
-            upstream.script = _work_for_long
+            upstream.script = _answer_after_a_second
         cut, *others = fleet.hosts
         callers = [
             await Caller.connect_to(cut.settings.callers) for _ in range(16)
@@ -184,7 +189,7 @@
         await until(lambda: all(one.seen for one in fleet.upstreams))
         fleet.cut([cut], Cut.refuse)
         await asyncio.gather(*(caller.answer() for caller in callers))
-        # Two probes, and two heartbeats that would tell of what they show.
+        # Two probes, and two heartbeats that would report their results.
         await asyncio.sleep(2.5)
         now = time.monotonic()
         assert not any(host.local_state.suspects.records for host in others)
--- a/tests/functional/test_entry.py
+++ b/tests/functional/test_entry.py
@@ -1,4 +1,4 @@
-"""Settings of one host: TLS on its listeners, and tokens of operators."""
+"""Settings of one host: TLS on its listeners and operator tokens."""
 
 import asyncio
 from hashlib import sha256
@@ -19,7 +19,7 @@
     'certificate': str(LIB / 'test-only.crt'),
     'key': str(LIB / 'test-only.key'),
 }
-ANY = '127.0.0.1:0'
+ANY_PORT = '127.0.0.1:0'
 
 
 def settings_of(platform: str, **listeners: Any) -> dict[str, Any]:
@@ -28,7 +28,8 @@
     return {
         'host': {'name': 'west-a-1', 'zone': 'west-a', 'region': 'west'},
         'listen': {
-            name: {'address': ANY, **listeners.get(name, {})} for name in names
+            name: {'address': ANY_PORT, **listeners.get(name, {})}
+            for name in names
         },
         'platform': {'url': platform},
         'operator_token_hashes': [sha256(b'secret').hexdigest()],
--- a/tests/functional/test_explain.py
+++ b/tests/functional/test_explain.py
@@ -1,4 +1,4 @@
-"""From the id of a failed request to its cause, by the log alone."""
+"""The cause of a failed request, found by its id in the log alone."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterator
@@ -21,7 +21,7 @@
 
 
 @contextmanager
-def logged() -> Iterator[list[str]]:
+def collected_log() -> Iterator[list[str]]:
     """Collect log lines as they are written."""
     lines: list[str] = []
     number = logger.add(lines.append, format=FORMAT)
@@ -31,19 +31,19 @@
         logger.remove(number)
 
 
-def story_of(test: Test, *upstreams: UpstreamStandin) -> RequestHistory:
-    """Run a test and return the story of the request r1."""
+def history_of(test: Test, *upstreams: UpstreamStandin) -> RequestHistory:
+    """Run a test and return the history of the request r1."""
 
     async def main() -> None:
         async with Rig(*upstreams) as rig, asyncio.timeout(25):
             await test(rig)
 
-    with logged() as lines:
+    with collected_log() as lines:
         asyncio.run(main())
     return collect_history(lines, 'r1')
 
 
-async def breaks_off(
+async def reset_connection(
     _upstream: UpstreamStandin,
     _seen: Seen,
     writer: asyncio.StreamWriter,
@@ -51,12 +51,12 @@
     writer.transport.abort()
 
 
-async def is_slow(
+async def answer_slowly(
     upstream: UpstreamStandin,
     seen: Seen,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Take longer than the objective for the request r1."""
+    """Answer the request r1 later than the target latency."""
     if seen.request_id == 'r1':
         await asyncio.sleep(0.6)
     await answer_ok(upstream, seen, writer)
@@ -67,10 +67,10 @@
         answer = await rig.ask('/order/x', 'POST', b'x')
         assert answer.status == 503
 
-    story = story_of(test, UpstreamStandin('i-1', answer_full))
-    assert story.cause is Cause.refused_full
-    assert story.lines[-1].fields['upstreams'] == 'i-1'
-    assert story.lines[-1].fields['known'] == '1'
+    history = history_of(test, UpstreamStandin('i-1', answer_full))
+    assert history.cause is Cause.refused_full
+    assert history.lines[-1].fields['upstreams'] == 'i-1'
+    assert history.lines[-1].fields['known'] == '1'
 
 
 def test_outcome_unknown_after_an_upstream_died() -> None:
@@ -78,12 +78,12 @@
         answer = await rig.ask('/order/x', 'POST', b'x')
         assert answer.status == 502
 
-    story = story_of(test, UpstreamStandin('i-1', breaks_off))
-    assert story.cause is Cause.unknown
-    events = [line.event for line in story.lines]
+    history = history_of(test, UpstreamStandin('i-1', reset_connection))
+    assert history.cause is Cause.unknown
+    events = [line.event for line in history.lines]
     expected = ['exchange-broken', 'upstream-avoided', 'request-refused']
     assert events == expected
-    assert any(line.event == 'upstream-changed' for line in story.context)
+    assert any(line.event == 'upstream-changed' for line in history.context)
 
 
 @pytest.mark.parametrize(
@@ -99,9 +99,9 @@
             answer = await rig.ask('/order/x', 'POST', b'x', request_id)
             assert answer.status == 200
 
-    story = story_of(test, UpstreamStandin('i-1', is_slow))
-    assert story.cause is cause
-    assert story.lines[-1].fields['upstream'] == 'i-1'
+    history = history_of(test, UpstreamStandin('i-1', answer_slowly))
+    assert history.cause is cause
+    assert history.lines[-1].fields['upstream'] == 'i-1'
 
 
 def test_unreachable_upstreams() -> None:
@@ -113,12 +113,12 @@
         answer = await rig.ask('/order/x', 'POST', b'x')
         assert answer.status == 503
 
-    assert story_of(test).cause is Cause.refused_gone
+    assert history_of(test).cause is Cause.refused_gone
 
 
 @pytest.mark.parametrize(
     'raw',
     ['', 'no line of ours', 'event="cut', 'time=1 event=request-answered'],
 )
-def test_what_the_log_does_not_tell(raw: str) -> None:
+def test_a_request_missing_in_the_log_has_no_known_cause(raw: str) -> None:
     assert collect_history([raw], 'r1').cause is Cause.unlogged
--- a/tests/functional/test_fleet.py
+++ b/tests/functional/test_fleet.py
@@ -1,4 +1,4 @@
-"""Hosts together: configuration, tokens and shifts while things fail."""
+"""Several hosts: configuration, tokens and shifts during faults."""
 
 import asyncio
 from typing import Any
@@ -60,7 +60,7 @@
         adopted = record_versions(host)
         late = HeadGive(1, old.base, old.blocks, old.command, old.operator)
         host.configuration.on_head_give('west-a-2', late)
-        # Heads are adopted in turn, so the old one would be there first.
+        # Heads are adopted in order of arrival: the old one would come first.
         again = await deployment.order(STOP)
         await deployment.wait_version(again)
         assert adopted == [again]
@@ -94,7 +94,7 @@
 
 
 async def order_until_done(trial: Trial, key: str) -> int:
-    """Give one order again until its outcome is known."""
+    """Repeat one order until its outcome is known."""
     while True:
         try:
             return await trial.deployment.order(START, key)
@@ -112,7 +112,7 @@
     run_trial(small_document(), test)
 
 
-def test_racing_operators_all_get_their_order_in() -> None:
+def test_orders_of_concurrent_operators_all_take_effect() -> None:
     async def test(trial: Trial) -> None:
         drains = [
             DrainModel(kind='upstream', name=f'{workload}-west-a')
@@ -225,7 +225,7 @@
     run_trial(small_document(), test)
 
 
-def test_an_offer_after_the_question_was_withdrawn_is_declined() -> None:
+def test_an_offer_for_a_withdrawn_loan_request_is_declined() -> None:
     async def test(trial: Trial) -> None:
         host = trial.deployment.hosts['west-a-2']
         lender = trial.deployment.hosts['west-a-1']
@@ -238,7 +238,7 @@
     run_trial(small_document(), test)
 
 
-def test_a_host_that_the_platform_calls_gone_is_inherited() -> None:
+def test_tokens_of_a_host_that_is_gone_are_reassigned() -> None:
     async def test(trial: Trial) -> None:
         deployment = trial.deployment
         gone = deployment.hosts.pop('west-a-2')
@@ -249,7 +249,7 @@
     run_trial(small_document(), test)
 
 
-def test_a_zone_without_platform_and_others_goes_on() -> None:
+def test_a_zone_serves_without_platform_and_other_zones() -> None:
     async def test(trial: Trial) -> None:
         trial.deployment.platform.store.faults.down = True
         for name in ('east-a-1', 'east-a-2'):
@@ -262,7 +262,9 @@
     run_trial(small_document(zones=ZONES), test)
 
 
-def test_a_key_of_ones_own_without_platform_is_not_called_not_run() -> None:
+def test_a_key_chosen_by_a_caller_without_platform_has_unknown_outcome() -> (
+    None
+):
     async def test(trial: Trial) -> None:
         trial.deployment.platform.store.faults.down = True
         answer = await trial.order('west-a-1', 'own-key')
@@ -273,7 +275,7 @@
 
 
 def test_traffic_of_another_region_stays_under_the_cap() -> None:
-    """Callers of the east come to the west under a shift of cap 2."""
+    """Callers of the east are sent to the west by a shift with a cap of 2."""
 
     async def test(trial: Trial) -> None:
         deployment = trial.deployment
@@ -317,7 +319,7 @@
     run_trial(document, test)
 
 
-def test_a_host_that_starts_without_platform_hears_from_its_seeds() -> None:
+def test_a_host_that_starts_without_platform_learns_from_its_seeds() -> None:
     async def test(trial: Trial) -> None:
         deployment = trial.deployment
         version = await deployment.order(START)
@@ -332,7 +334,7 @@
         await deployment.wait_until(
             lambda: 'west-a-2' in host.fleet.live_names(),
         )
-        # It owns nothing without the platform, and borrows from its peer.
+        # Without the platform it owns no tokens and borrows from its peer.
         answer = await trial.order(model.name, await trial.new_key('west-a-2'))
         assert answer.code == 200
 
@@ -353,8 +355,10 @@
     run_trial(small_document(zones=ZONES), test)
 
 
-def test_a_broken_link_makes_nobody_look_dead() -> None:
-    """Two of three hosts cannot reach each other; the third passes on."""
+def test_a_broken_link_makes_no_host_look_dead() -> None:
+    """Two of three hosts cannot reach each other; the third passes
+    their heartbeats on.
+    """
 
     async def test(trial: Trial) -> None:
         hosts = trial.deployment.hosts
@@ -381,7 +385,7 @@
         ('other', ('east-a', 'west-a', 'west-b'), 0),
     ],
 )
-def test_a_running_cap_is_not_divided_anew(
+def test_the_cap_of_a_running_shift_is_not_divided_again(
     name: str,
     zones: tuple[str, ...],
     faults: int,
--- a/tests/functional/test_foreign_entries.py
+++ b/tests/functional/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries by other writers, at each place where a gateway reads the store."""
+"""Unusable entries of other writers, wherever a gateway reads the store."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,7 +14,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a time limit."""
 
     async def main() -> None:
         async with asyncio.timeout(30):
@@ -39,7 +39,7 @@
     return await asyncio.start_server(answer, ADDRESS, 0)
 
 
-def test_a_bad_entry_costs_no_other_in_a_listing_or_a_watch() -> None:
+def test_an_unusable_entry_affects_no_other_in_a_listing_or_a_watch() -> None:
     one = UpstreamStandin('i-1')
     two = UpstreamStandin('i-2')
 
@@ -51,27 +51,27 @@
             rig.store.put('servers', 'i-bad', {'address': 7})
             await rig.until(lambda: 'i-bad' in unusable)
             assert (await rig.ask()).status == 200
-            # One that is known and spoilt names its upstream no more.
+            # A known entry that becomes unusable takes its upstream out of use.
             rig.store.put('servers', 'i-2', {'address': 'nowhere'})
             await rig.until(lambda: len(services('views')) == 1)
             assert set(unusable) == {'i-bad', 'i-2'}
             for number in range(5):
                 answer = await rig.ask(request_id=f'r{number}')
                 assert answer.body == b'i-1'
-            # Whole again, and gone.
+            # One entry becomes usable again, the other is deleted.
             rig.store.put('servers', 'i-2', upstream_spec(two.port))
             rig.store.delete('servers', 'i-bad')
             await rig.until(lambda: len(services('views')) == 2)
             await rig.until(lambda: not unusable)
             lines = gateway.metrics.render().decode().splitlines()
             name = 'wardstair_upstream_entries_unusable'
-            (told,) = (line for line in lines if line.startswith(name))
-            assert told.endswith(' 0.0')
+            (gauge,) = (line for line in lines if line.startswith(name))
+            assert gauge.endswith(' 0.0')
 
     run(test)
 
 
-def test_an_object_without_a_name_costs_no_other() -> None:
+def test_an_object_without_a_name_affects_no_other() -> None:
     async def test() -> None:
         standin = StoreStandin()
         standin.start()
@@ -86,8 +86,8 @@
         waiting = asyncio.ensure_future(store.watch_kind('servers', at(1), 5))
         await until(lambda: len(standin.calls) == 2)
         bad: Stored = {'metadata': 'none'}
-        held = standin.kind('servers')
-        held.history.append((2, bad, False))
+        servers = standin.kind('servers')
+        servers.history.append((2, bad, False))
         standin.put('servers', 'i-2', upstream_spec(8081))
         changed = await waiting
         assert isinstance(changed, Ok)
@@ -99,14 +99,14 @@
     run(test)
 
 
-def test_a_page_of_which_nothing_can_be_read_is_no_whole_listing() -> None:
+def test_a_page_without_readable_objects_is_not_a_complete_listing() -> None:
     raw = b'{"as_of": 4, "truncated": true, "items": [{"metadata": 7}]}'
 
     async def test() -> None:
         server = await serve_raw(raw)
         port = server.sockets[0].getsockname()[1]
         store = Store(f'{ADDRESS}:{port}')
-        # Taken for whole, it would take out all upstreams that come after it.
+        # Taken for complete, it would remove all upstreams of later pages.
         assert isinstance(await store.list_kind('servers'), Err)
         store.close()
         server.close()
@@ -114,7 +114,7 @@
     run(test)
 
 
-def test_bytes_that_cannot_be_read_cost_no_other_object() -> None:
+def test_invalid_utf8_affects_no_other_object() -> None:
     raw = (
         b'{"as_of": 4, "items": [{"metadata": {"name": "i-0"}, '
         b'"spec": "\xff\xfe\x80"}, {"metadata": {"name": "i-1"}}]}'
--- a/tests/functional/test_gateway_fleet.py
+++ b/tests/functional/test_gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Several gateways of one fleet: heartbeats, state, starts and stops."""
+"""Several gateways in one fleet: heartbeats, state, starts and stops."""
 
 import asyncio
 import json
@@ -23,11 +23,11 @@
 
 
 def no_seed(_number: int) -> None:
-    """Give no host a seed."""
+    """Return no seed for any host."""
 
 
 def first_host(_number: int) -> int:
-    """Give all others the first host for a seed."""
+    """Return the number of the first host as the seed of all others."""
     return 1
 
 
@@ -38,9 +38,9 @@
     zones: tuple[str, ...] = ('north-a',),
     seed_of: Callable[[int], int | None] = first_host,
 ) -> AsyncIterator[tuple[StoreStandin, list[GatewayHost]]]:
-    """Run gateways on addresses of their own, in turn in the zones.
+    """Run gateways on addresses of their own, distributed over the zones.
 
-    Each has the host whose number `seed_of` returns for its own as a seed.
+    Each host has the one whose number `seed_of` returns for it as its seed.
     """
     store = store or StoreStandin()
     store.start()
@@ -70,7 +70,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a time limit."""
 
     async def main() -> None:
         async with asyncio.timeout(40):
@@ -79,17 +79,17 @@
     asyncio.run(main())
 
 
-def hear_each_other(hosts: list[GatewayHost]) -> bool:
+def are_all_live(hosts: list[GatewayHost]) -> bool:
     return all(len(host.members.live_names()) == len(hosts) for host in hosts)
 
 
-def knows(local_state: LocalState) -> bool:
+def has_new_state(local_state: LocalState) -> bool:
     is_new = local_state.versions.configuration == 9
     return is_new and local_state.evacuated == {'south-a'}
 
 
 async def lookup(host: GatewayHost) -> list[str]:
-    """Return the addresses that a look-up names."""
+    """Return the addresses that a lookup lists."""
     client = SimpleAsyncHTTPClient(force_instance=True)
     answer = await client.fetch(
         f'http://{host.settings.lookups}/resolve?name=music.example'
@@ -101,7 +101,7 @@
     return [str(address) for address in document['addresses']]
 
 
-async def readiness(host: GatewayHost) -> int:
+async def readiness_status(host: GatewayHost) -> int:
     """Return the status of a readiness check."""
     client = SimpleAsyncHTTPClient(force_instance=True)
     answer = await client.fetch(
@@ -112,19 +112,19 @@
     return answer.code
 
 
-def test_hosts_find_each_other_and_are_named_in_look_ups() -> None:
+def test_hosts_find_each_other_and_are_listed_in_lookups() -> None:
     async def test() -> None:
         async with fleet(3, seed_of=no_seed) as (store, hosts):
-            await until(lambda: hear_each_other(hosts))
-            fronts = {str(host.settings.callers) for host in hosts}
-            assert set(await lookup(hosts[0])) == fronts
+            await until(lambda: are_all_live(hosts))
+            caller_addresses = {str(host.settings.callers) for host in hosts}
+            assert set(await lookup(hosts[0])) == caller_addresses
             assert len(store.kind('entry-hosts').objects) == 3
 
     run(test)
 
 
-def agree(hosts: list[GatewayHost]) -> bool:
-    """Return whether no host has a reason to ask another."""
+def have_same_state(hosts: list[GatewayHost]) -> bool:
+    """Return whether no host has a reason to query another."""
     versions = [host.local_state.versions for host in hosts]
     newest = max(one.upstreams for one in versions)
     watchers = [host for host in hosts if not host.is_sentinel]
@@ -133,20 +133,20 @@
     )
 
 
-def test_hosts_that_know_the_same_ask_each_other_for_nothing() -> None:
+def test_hosts_reach_the_same_state_and_stop_querying_each_other() -> None:
     async def test() -> None:
         async with fleet(3) as (_store, hosts):
-            await until(lambda: hear_each_other(hosts))
-            # Each listed at another revision; they settle on one.
-            await until(lambda: agree(hosts))
+            await until(lambda: are_all_live(hosts))
+            # The hosts listed at different revisions and converge on one.
+            await until(lambda: have_same_state(hosts))
 
     run(test)
 
 
-def test_a_host_that_leaves_or_dies_is_not_named() -> None:
+def test_a_host_that_leaves_or_fails_is_not_listed() -> None:
     async def test() -> None:
         async with fleet(3) as (_store, hosts):
-            await until(lambda: hear_each_other(hosts))
+            await until(lambda: are_all_live(hosts))
             stopping = asyncio.ensure_future(hosts[1].stop())
             own = str(hosts[1].settings.callers)
             await until(lambda: len(hosts[0].members.live_names()) == 2)
@@ -160,10 +160,10 @@
     run(test)
 
 
-def test_a_host_without_the_store_learns_from_another() -> None:
+def test_a_host_without_the_store_gets_its_state_from_another() -> None:
     async def test() -> None:
         async with fleet(2) as (store, hosts):
-            await until(lambda: hear_each_other(hosts))
+            await until(lambda: are_all_live(hosts))
             hosts[1].store._address = '127.0.0.1:1'
             store.cut_watches()
             store.put('config', 'main', configuration_spec(9))
@@ -177,12 +177,13 @@
     run(test)
 
 
-def test_a_watch_that_says_nothing_is_found_out() -> None:
+def test_a_silent_watch_is_detected() -> None:
     async def test() -> None:
         async with fleet(2) as (store, hosts):
-            await until(lambda: hear_each_other(hosts))
+            await until(lambda: are_all_live(hosts))
             await until(lambda: all(host.is_ready for host in hosts))
-            # All waiting watches hang; new ones work, the history is gone.
+            # All pending watches hang. New ones work, but the store no longer
+            # has the history of changes.
             store.silence_watches()
             store.put('config', 'main', configuration_spec(9))
             store.put('evacuations', 'south-a', {})
@@ -190,18 +191,18 @@
             store.compact('evacuations')
             for host in hosts:
                 local_state = host.local_state
-                await until(partial(knows, local_state))
+                await until(partial(has_new_state, local_state))
 
     run(test)
 
 
-def knows_upstream(host: GatewayHost, name: str) -> bool:
+def uses_upstream(host: GatewayHost, name: str) -> bool:
     upstream = host.local_state.catalog.upstreams.get(name)
     return upstream is not None and upstream.takes_work
 
 
 def are_relays_settled(hosts: list[GatewayHost]) -> bool:
-    """Return whether each zone has two relays that hear the others'."""
+    """Return whether each zone has two relays with contact to all zones."""
     relays = [host for host in hosts if host.members.is_relay]
     zones = {host.settings.zone for host in hosts}
     heard = [
@@ -211,9 +212,7 @@
     return len(relays) == 2 * len(zones) and all(one == zones for one in heard)
 
 
-def test_news_reaches_hosts_that_watch_nothing_also_without_their_relays() -> (
-    None
-):
+def test_updates_reach_hosts_without_watches_after_relays_fail() -> None:
     async def test() -> None:
         zones = ('north-a', 'south-a')
         async with fleet(8, zones=zones) as (store, hosts):
@@ -222,28 +221,28 @@
             store.put('config', 'main', configuration_spec(9))
             store.put('evacuations', 'south-a', {})
             for host in hosts:
-                await until(partial(knows, host.local_state))
-                await until(partial(knows_upstream, host, 'i-1'))
-            # Both relays of a zone end without a word.
-            ended = [
+                await until(partial(has_new_state, host.local_state))
+                await until(partial(uses_upstream, host, 'i-1'))
+            # Both relays of a zone stop without notice.
+            stopped = [
                 host
                 for host in hosts
                 if host.members.is_relay and host.settings.zone == 'north-a'
             ]
-            for host in ended:
+            for host in stopped:
                 await host.close()
-            rest = [host for host in hosts if host not in ended]
+            remaining = [host for host in hosts if host not in stopped]
             store.delete('servers', 'i-1')
             store.put('servers', 'i-2', upstream_spec(2))
-            for host in rest:
-                await until(partial(knows_upstream, host, 'i-2'))
-                assert not knows_upstream(host, 'i-1')
-            await until(lambda: are_relays_settled(rest))
+            for host in remaining:
+                await until(partial(uses_upstream, host, 'i-2'))
+                assert not uses_upstream(host, 'i-1')
+            await until(lambda: are_relays_settled(remaining))
 
     run(test)
 
 
-def test_a_host_in_contact_with_nobody_answers_that_it_is_starting() -> None:
+def test_a_host_without_contact_answers_that_it_is_starting() -> None:
     async def test() -> None:
         store = StoreStandin()
         store.status = 503
@@ -253,10 +252,10 @@
             assert answer.status == 503
             assert float(answer.headers['retry-after']) > 0
             caller.close()
-            assert await readiness(hosts[0]) == 503
+            assert await readiness_status(hosts[0]) == 503
             store.status = None
             await until(lambda: hosts[0].is_ready)
-            assert await readiness(hosts[0]) == 200
+            assert await readiness_status(hosts[0]) == 200
 
     run(test)
 
@@ -281,7 +280,7 @@
     run(test)
 
 
-def test_a_stop_lets_a_request_end() -> None:
+def test_a_stopping_host_finishes_a_running_request() -> None:
     async def slow(
         upstream: UpstreamStandin,
         seen: Seen,
@@ -339,7 +338,7 @@
             await until(lambda: all(host.is_ready for host in hosts))
             await until(lambda: len(store.kind('entry-hosts').objects) >= 4)
             registered = {*store.kind('entry-hosts').objects}
-            # Two a zone, and one that was a relay while the others joined.
+            # Two per zone, and one that was a relay while the others joined.
             assert len(registered) <= 5
             written = [one for one in host_calls(store) if one[0] != 'G']
             assert len(written) <= len(registered)
@@ -350,13 +349,13 @@
 def test_a_host_that_joins_others_reads_nothing_from_the_store() -> None:
     async def test() -> None:
         async with fleet(4) as (store, hosts):
-            await until(lambda: hear_each_other(hosts))
+            await until(lambda: are_all_live(hosts))
             await until(lambda: all(host.is_ready for host in hosts))
             store.put('servers', 'i-1', upstream_spec(1))
-            await until(lambda: knows_upstream(hosts[0], 'i-1'))
+            await until(lambda: uses_upstream(hosts[0], 'i-1'))
             relays = hosts[0].members.relays
             port = hosts[0].settings.fleet_ports[0]
-            # Of names, one that makes it no relay.
+            # Choose a name with which the host does not become a relay.
             names = [f'new-{number}' for number in range(50)]
             name = next(
                 one
@@ -372,14 +371,14 @@
             host = GatewayHost(replace(settings, seeds=seeds), Random(9))
             await host.start()
             await until(lambda: host.is_ready)
-            await until(lambda: knows_upstream(host, 'i-1'))
+            await until(lambda: uses_upstream(host, 'i-1'))
             assert not host.store.calls
             await host.close()
 
     run(test)
 
 
-def test_halves_that_formed_apart_meet_at_the_store(
+def test_two_separate_groups_find_each_other_in_the_store(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -388,12 +387,14 @@
             _store,
             hosts,
         ):
-            await until(lambda: hear_each_other(hosts))
+            await until(lambda: are_all_live(hosts))
 
     run(test)
 
 
-def test_hosts_that_start_without_a_store_meet_when_it_is_there() -> None:
+def test_hosts_started_without_a_store_find_each_other_when_it_is_back() -> (
+    None
+):
     async def test() -> None:
         store = StoreStandin()
         store.status = 503
@@ -401,7 +402,7 @@
             await until(lambda: all(host.contact.is_lost for host in hosts))
             assert all(not host.members.live() for host in hosts)
             store.status = None
-            await until(lambda: hear_each_other(hosts))
+            await until(lambda: are_all_live(hosts))
 
     run(test)
 
@@ -410,10 +411,10 @@
     async def test() -> None:
         async with fleet(1) as (store, hosts):
             settings = hosts[0].settings
-            # It looks, writes, and looks again.
+            # The host reads, writes and reads again.
             await until(lambda: len(host_calls(store)) == 3)
             await hosts[0].close()
-            # The socket of its heartbeats closes a turn of the loop later.
+            # Its heartbeat socket closes one event loop iteration later.
             await asyncio.sleep(0)
             before = len(store.calls)
             host = GatewayHost(settings, Random(9))
@@ -435,7 +436,8 @@
     async def test() -> None:
         monkeypatch.setattr(registration, 'DISCOVERY_SECONDS', 0.2)
         async with fleet(1) as (store, hosts):
-            # It looks, writes, and looks again: only then it has been there.
+            # The host reads, writes and reads again. Only after the second
+            # read does it know that its object existed.
             await until(lambda: len(host_calls(store)) >= 3)
             store.delete('entry-hosts', 'host-1')
             await until(lambda: len(store.kind('entry-hosts').objects) == 1)
--- a/tests/functional/test_gateway_process.py
+++ b/tests/functional/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The program as its own process: start, reload, stop."""
+"""The gateway program as a separate process: start, reload and stop."""
 
 import asyncio
 import os
@@ -52,7 +52,7 @@
 
 
 async def wait_line(process: Process, event: str) -> str:
-    """Read the log up to a line of a kind."""
+    """Read the log up to a line with this event and return the line."""
     assert process.stdout is not None
     while True:
         line = (await process.stdout.readline()).decode()
@@ -62,7 +62,7 @@
 
 
 @dataclass
-class Surroundings:
+class GatewaySetup:
     """A store with an upstream in it, and the settings of one gateway."""
 
     store: StoreStandin
@@ -72,7 +72,7 @@
     path: Path
 
     @classmethod
-    async def start(cls, folder: Path) -> 'Surroundings':
+    async def start(cls, folder: Path) -> 'GatewaySetup':
         store, upstream = StoreStandin(), UpstreamStandin('i-1')
         store.start()
         await upstream.start()
@@ -96,15 +96,15 @@
     return answer.body.decode()
 
 
-def test_requests_go_on_while_nobody_reads_the_log(tmp_path: Path) -> None:
+def test_requests_are_served_while_the_log_is_not_read(tmp_path: Path) -> None:
     async def main() -> None:
-        surroundings = await Surroundings.start(tmp_path)
-        path, ports = surroundings.path, surroundings.ports
-        address = surroundings.address
+        setup = await GatewaySetup.start(tmp_path)
+        path, ports = setup.path, setup.ports
+        address = setup.address
         process = await start(path)
         await wait_line(process, 'upstream-changed')
-        # From here on the log is not read; each refused request is a line
-        # until pipe and queue are full.
+        # From here on the log is not read. Each refused request writes a line
+        # until the pipe and the queue are full.
         caller = await Caller.connect_to(Listener(address, ports[0]))
         number = 0
         while 'lines_dropped_total 0' in await scrape(address, ports[4]):
@@ -115,11 +115,11 @@
         answer = await caller.ask(request_id='last')
         assert (answer.status, answer.body) == (200, b'i-1')
         process.send_signal(signal.SIGTERM)
-        # It does not end for asyncio until its output was read.
+        # asyncio reports the exit only after the output has been read.
         rest, _ = await process.communicate()
         assert process.returncode == 0
         assert b'event=log-lines-dropped count=' in rest
-        await surroundings.stop()
+        await setup.stop()
 
     async def bounded() -> None:
         async with asyncio.timeout(120):
@@ -130,9 +130,9 @@
 
 def test_a_process_starts_serves_reloads_and_stops(tmp_path: Path) -> None:
     async def main() -> None:
-        surroundings = await Surroundings.start(tmp_path)
-        path, ports = surroundings.path, surroundings.ports
-        address = surroundings.address
+        setup = await GatewaySetup.start(tmp_path)
+        path, ports = setup.path, setup.ports
+        address = setup.address
         process = await start(path)
         missing = await wait_line(process, 'settings-missing')
         assert 'bounds.drain_ms:1000' in missing
@@ -161,7 +161,7 @@
         process.send_signal(signal.SIGTERM)
         await wait_line(process, 'host-stopped')
         assert await process.wait() == 0
-        await surroundings.stop()
+        await setup.stop()
 
     async def bounded() -> None:
         async with asyncio.timeout(40):
@@ -170,7 +170,7 @@
     asyncio.run(bounded())
 
 
-def test_a_wrong_settings_file_ends_the_process_with_a_hint(
+def test_an_invalid_settings_file_ends_the_process_with_status_2(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
--- a/tests/functional/test_gateway_requests.py
+++ b/tests/functional/test_gateway_requests.py
@@ -1,4 +1,4 @@
-"""Requests through a gateway, while upstreams answer well, badly and late."""
+"""Requests through a gateway with valid, invalid and late upstream answers."""
 
 import asyncio
 import json
@@ -37,7 +37,7 @@
 
 
 def writes(*pieces: bytes, then_close: bool = False) -> Script:
-    """Return a script that writes these bytes; `{id}` is the request's."""
+    """Return a script that writes these bytes, with the id for `{id}`."""
 
     async def script(
         _upstream: UpstreamStandin,
@@ -53,7 +53,7 @@
     return script
 
 
-def closes_at_once() -> Script:
+def resets_connection() -> Script:
     """Return a script that resets the connection without an answer."""
 
     async def script(
@@ -68,7 +68,7 @@
 
 ID = b'Wardstair-Attempt-Id: {id}\r\n'
 CHUNKED = b'Transfer-Encoding: chunked\r\n\r\n'
-FAILURE = (
+SERVER_ERROR = (
     b'HTTP/1.1 500 Internal Server Error\r\nWardstair-Attempt-Id: {id}\r\n'
     b'Wardstair-Server-Seal: s.1\r\nContent-Length: 3\r\n\r\nbad'
 )
@@ -77,22 +77,22 @@
 WHOLE = b'Content-Length: 2\r\n\r\nok'
 INTERIM = b'HTTP/1.1 100 Continue\r\n\r\n'
 MISDIRECTED = b'HTTP/1.1 421 Misdirected Request\r\n' + ID + EMPTY
-UNSAID = b'HTTP/1.1 503 Service Unavailable\r\n' + ID + EMPTY
-UNPROVEN = b'HTTP/1.1 200 OK\r\n' + ID + EMPTY
+WITHOUT_NOT_EXECUTED = b'HTTP/1.1 503 Service Unavailable\r\n' + ID + EMPTY
+WITHOUT_SEAL = b'HTTP/1.1 200 OK\r\n' + ID + EMPTY
 POST = (
     b'POST /read/x HTTP/1.1\r\nHost: music.example\r\n'
     b'Wardstair-Attempt-Id: r\r\n'
 )
 SEAL = b'Wardstair-Server-Seal: s.1\r\n'
 HEAD = b'HTTP/1.1 200 OK\r\nWardstair-Attempt-Id: {id}\r\n' + SEAL
-FOREIGN = (
+OTHER_ATTEMPT = (
     b'HTTP/1.1 200 OK\r\nWardstair-Attempt-Id: other\r\n'
     + SEAL
     + b'Content-Length: 3\r\n\r\nbad'
 )
 
 
-def test_a_request_goes_on_unaltered_and_its_answer_comes_back() -> None:
+def test_a_request_is_forwarded_unaltered_and_its_answer_returned() -> None:
     one = UpstreamStandin('i-1')
 
     async def test(rig: Rig) -> None:
@@ -137,32 +137,32 @@
     run(test, one)
 
 
-# What an upstream sends for a repeatable request, and what the caller gets
-# while no other upstream can help.
+# Answers of the only upstream that is available, and the resulting status and
+# body for the caller.
 @pytest.mark.parametrize(
     ('script', 'status', 'body'),
     [
         (writes(HEAD + WHOLE), 200, b'ok'),
         (writes(HEAD + b'\r\nto the end', then_close=True), 200, b'to the end'),
         (writes(HEAD + CHUNKED + b'2\r\nok\r\n0\r\n\r\n'), 200, b'ok'),
-        # Surplus: before the due answer, and behind it.
-        (writes(FOREIGN, HEAD + WHOLE), 200, b'ok'),
-        (writes(HEAD + WHOLE, FOREIGN), 200, b'ok'),
+        # An unrelated answer before the expected one, and after it.
+        (writes(OTHER_ATTEMPT, HEAD + WHOLE), 200, b'ok'),
+        (writes(HEAD + WHOLE, OTHER_ATTEMPT), 200, b'ok'),
         (writes(INTERIM + HEAD + EMPTY), 200, b''),
-        # Cut short, foreign only, no answer at all, no proof.
+        # Truncated, only an unrelated answer, no answer, no seal.
         (writes(HEAD + SHORT, then_close=True), 502, None),
         (writes(HEAD + CHUNKED + b'2\r\nok\r\n', then_close=True), 502, None),
-        (writes(FOREIGN, then_close=True), 502, None),
+        (writes(OTHER_ATTEMPT, then_close=True), 502, None),
         (writes(b'\x00\x01garbage\r\n\r\n'), 502, None),
-        (writes(UNPROVEN), 502, None),
-        (closes_at_once(), 502, None),
+        (writes(WITHOUT_SEAL), 502, None),
+        (resets_connection(), 502, None),
         (answer_full, 503, None),
-        # A status that promises "not run", from one that did not say so.
-        (writes(UNSAID), 502, None),
+        # 503 means "not run", but the header that confirms it is missing.
+        (writes(WITHOUT_NOT_EXECUTED), 502, None),
     ],
 )
 @pytest.mark.parametrize('target', ['/read/x', '/order/x'])
-def test_what_an_upstream_sends_and_what_its_caller_gets(
+def test_the_answer_of_an_upstream_and_the_answer_to_the_caller(
     script: Script,
     status: int,
     body: bytes | None,
@@ -210,9 +210,9 @@
     [
         ('/order/x', answer_full, True),
         ('/read/x', answer_full, True),
-        ('/read/x', closes_at_once(), True),
-        # It may have run, and running twice does harm.
-        ('/order/x', closes_at_once(), False),
+        ('/read/x', resets_connection(), True),
+        # It may have run, and must not run twice.
+        ('/order/x', resets_connection(), False),
         (
             '/send/x',
             writes(HEAD + SHORT, then_close=True),
@@ -249,8 +249,8 @@
 @pytest.mark.parametrize(
     ('target', 'upstreams', 'status', 'sends'),
     [
-        # Repeatable: another may do better; if none does, the failure itself
-        # is the answer.
+        # Repeatable: another upstream may succeed. Without one, the caller gets
+        # the failed answer.
         ('/read/x', 2, 200, 2),
         ('/read/x', 1, 500, 1),
         ('/order/x', 2, 500, 1),
@@ -270,7 +270,7 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         asked.append(upstream.name)
-        script = writes(FAILURE) if len(asked) == 1 else answer_ok
+        script = writes(SERVER_ERROR) if len(asked) == 1 else answer_ok
         await script(upstream, seen, writer)
 
     async def test(rig: Rig) -> None:
@@ -283,7 +283,7 @@
     run(test, *(UpstreamStandin(name, first_fails) for name in names))
 
 
-def test_an_upstream_that_kept_a_request_to_the_end_is_avoided() -> None:
+def test_an_upstream_that_held_a_request_until_its_timeout_is_avoided() -> None:
     one = UpstreamStandin('i-1', answer_never)
 
     async def test(rig: Rig) -> None:
@@ -299,7 +299,7 @@
     run(test, one)
 
 
-def test_an_upstream_that_took_over_an_address_is_not_asked_again() -> None:
+def test_an_upstream_that_took_over_an_address_is_not_used_again() -> None:
     other = UpstreamStandin(
         'i-1',
         writes(MISDIRECTED),
@@ -316,7 +316,7 @@
     run(test, other, UpstreamStandin('i-2'))
 
 
-def test_a_callers_leaving_ends_the_work() -> None:
+def test_a_caller_that_disconnects_ends_the_upstream_request() -> None:
     one = UpstreamStandin('i-1', answer_never)
 
     async def test(rig: Rig) -> None:
@@ -330,7 +330,7 @@
 
 
 @pytest.mark.parametrize('target', ['/read/x', '/order/x'])
-def test_the_routes_time_ends_a_request_without_a_promise(target: str) -> None:
+def test_the_route_timeout_ends_a_request(target: str) -> None:
     one = UpstreamStandin('i-1', answer_never)
 
     async def test(rig: Rig) -> None:
@@ -349,7 +349,7 @@
     run(test, one)
 
 
-def test_a_silent_upstream_does_not_keep_a_repeatable_request() -> None:
+def test_a_silent_upstream_does_not_block_a_repeatable_request() -> None:
     silent = UpstreamStandin('i-1', answer_never)
 
     async def test(rig: Rig) -> None:
@@ -360,7 +360,7 @@
     run(test, silent, UpstreamStandin('i-2'))
 
 
-def test_a_route_of_some_regions_stays_there() -> None:
+def test_a_route_is_served_only_in_its_permitted_regions() -> None:
     near, far = UpstreamStandin('i-near'), UpstreamStandin('i-far')
 
     async def test(rig: Rig) -> None:
@@ -417,7 +417,9 @@
     run(test, one)
 
 
-def test_bodies_beyond_the_memory_are_refused_before_they_are_held() -> None:
+def test_bodies_beyond_the_memory_limit_are_refused_before_they_are_held() -> (
+    None
+):
     one = UpstreamStandin('i-1', answer_never)
 
     async def test(rig: Rig) -> None:
@@ -433,7 +435,7 @@
         assert refused.headers['connection'] == 'close'
         assert [seen.request_id for seen in one.seen] == ['r0']
         caller.close()
-        # What is held is given back when its request has ended.
+        # The memory of a body is released when its request has ended.
         holder.close()
         await rig.until(lambda: bodies.held_bytes == 0)
         one.script = answer_ok
@@ -453,11 +455,11 @@
             ]
             return {answer.body for answer in answers}
 
-        # One key has one home.
+        # A key has one preferred upstream.
         assert len(await served_by()) == 1
         before = rig.gateway.settings
-        drawn = replace(before, placement=POLICIES['equal-shares'])
-        assert rig.gateway.adopt_settings(drawn) == ['placement']
+        equal_shares = replace(before, placement=POLICIES['equal-shares'])
+        assert rig.gateway.adopt_settings(equal_shares) == ['placement']
         assert len(await served_by()) == 2
         rig.gateway.adopt_settings(before)
         assert len(await served_by()) == 1
@@ -465,7 +467,7 @@
     run(test, UpstreamStandin('i-1'), UpstreamStandin('i-2'))
 
 
-def test_upstreams_that_forget_connections_cost_few_requests() -> None:
+def test_idle_connections_dropped_by_upstreams_fail_no_request() -> None:
     served: dict[asyncio.StreamWriter, float] = {}
 
     async def forgets(
@@ -481,7 +483,7 @@
         await answer_ok(upstream, seen, writer)
 
     async def test(rig: Rig) -> None:
-        # Repeatable requests meet it first and are sent again.
+        # Repeatable requests are the first to fail, and are sent again.
         for number in range(12):
             key = f'Wardstair-Affinity-Key={number}'
             name = f'r{number}'
@@ -494,7 +496,7 @@
             answer = await rig.ask('/order/x', 'POST', b'x', name, Cookie=key)
             assert answer.status == 200
             await asyncio.sleep(LEAST_FORGOTTEN_SECONDS)
-        # It is no fault of theirs.
+        # Dropped connections do not count as failures of the upstreams.
         now = time.monotonic()
         catalog = rig.gateway.local_state.catalog
         assert not any(one.failures for one in catalog.of_service('views'))
@@ -505,18 +507,18 @@
     run(test, *(UpstreamStandin(f'i-{n}', forgets) for n in range(3)))
 
 
-def test_what_does_not_fit_in_a_part_is_refused_and_not_moved() -> None:
+def test_requests_beyond_the_capacity_of_a_split_part_are_refused() -> None:
     full = UpstreamStandin('i-full', answer_full)
     other = UpstreamStandin('i-other')
 
     async def test(rig: Rig) -> None:
         entry = upstream_spec(full.port, service='orders')
         rig.store.put('servers', 'i-full', entry)
-        parts = [
+        backends = [
             {'service': 'views', 'weight': 50},
             {'service': 'orders', 'weight': 50},
         ]
-        split = route_spec('/read/', 'safe', service=None, backends=parts)
+        split = route_spec('/read/', 'safe', service=None, backends=backends)
         document = configuration_spec(2, read=split)
         rig.store.put('config', 'main', document)
         local_state = rig.gateway.local_state
@@ -538,45 +540,49 @@
 
 
 def rejects(load: str) -> Script:
-    """Return a script that turns requests away and tells this load."""
-    told = f'Wardstair-Server-Load: {load}\r\n'.encode()
+    """Return a script that rejects requests and reports this load."""
+    reported = f'Wardstair-Server-Load: {load}\r\n'.encode()
     not_run = b'Wardstair-Not-Executed: 1\r\n'
     return writes(
-        b'HTTP/1.1 503 Service Unavailable\r\n' + ID + not_run + told + EMPTY
+        b'HTTP/1.1 503 Service Unavailable\r\n'
+        + ID
+        + not_run
+        + reported
+        + EMPTY
     )
 
 
 @pytest.mark.parametrize(
-    ('load', 'told', 'kind', 'is_soon'),
+    ('load', 'reported', 'kind', 'is_early_retry'),
     [
-        # Running, waiting, slots: it has room, and sheds all the same.
+        # Running, waiting, slots: it has capacity but rejects all the same.
         ('1,0,4', 1, 'turned-away', True),
         ('4,9,4', 13, 'overloaded', False),
-        # It does not say: it is taken for full.
+        # Without a readable load, the upstream is assumed to be full.
         ('?', 12, 'overloaded', False),
     ],
 )
-def test_a_rejection_is_believed_for_what_it_tells(
+def test_a_rejection_reports_the_load_of_its_upstream(
     load: str,
-    told: int,
+    reported: int,
     kind: str,
-    is_soon: bool,
+    is_early_retry: bool,
 ) -> None:
     one = UpstreamStandin('i-1', rejects(load))
 
     async def test(rig: Rig) -> None:
         answer = await rig.ask()
         upstream = rig.gateway.local_state.catalog.upstreams['i-1']
-        assert upstream.reported_load == told
+        assert upstream.reported_load == reported
         assert answer.status == 503
         assert json.loads(answer.body)['kind'] == kind
         # Soon enough to be served within the route's objective of 0.5 s.
-        assert (float(answer.headers['retry-after']) < 0.1) is is_soon
+        assert (float(answer.headers['retry-after']) < 0.1) is is_early_retry
 
     run(test, one)
 
 
-def test_a_rejection_fills_an_upstream_with_the_mechanism_off() -> None:
+def test_a_rejection_marks_an_upstream_as_full_with_the_mechanism_off() -> None:
     one = UpstreamStandin('i-1', rejects('1,0,4'))
 
     async def test(rig: Rig) -> None:
@@ -591,7 +597,7 @@
     run(test, one)
 
 
-def test_a_silent_upstream_is_waited_for_with_hedging_off() -> None:
+def test_a_request_waits_for_a_silent_upstream_with_hedging_off() -> None:
     one = UpstreamStandin('i-1', answer_never)
     two = UpstreamStandin('i-2', answer_never)
 
@@ -607,17 +613,19 @@
 
 
 @pytest.mark.parametrize('is_on', [True, False])
-def test_an_ejected_home_is_asked_only_with_ejection_off(is_on: bool) -> None:
+def test_an_ejected_preferred_upstream_is_used_only_with_ejection_off(
+    is_on: bool,
+) -> None:
     three = [UpstreamStandin(f'i-{number}') for number in range(3)]
 
     async def test(rig: Rig) -> None:
-        home = (await rig.ask()).body.decode()
-        upstream = rig.gateway.local_state.catalog.upstreams[home]
+        preferred = (await rig.ask()).body.decode()
+        upstream = rig.gateway.local_state.catalog.upstreams[preferred]
         upstream.ejected_until = float('inf')
         live = rig.gateway.live_settings
         off = frozenset(() if is_on else (Mechanism.ejection,))
         live.current = replace(live.current, switched_off=off)
         answer = await rig.ask(request_id='r2')
-        assert (answer.body.decode() == home) is not is_on
+        assert (answer.body.decode() == preferred) is not is_on
 
     run(test, *three)
--- a/tests/functional/test_handing_on.py
+++ b/tests/functional/test_handing_on.py
@@ -1,4 +1,4 @@
-"""What a request keeps when one entry host hands it on to another."""
+"""Requests that one entry host forwards to another."""
 
 import asyncio
 import time
@@ -18,7 +18,7 @@
 from wardstair.gateway.host import GatewayHost
 from wardstair.gateway.settings import Bounds
 
-# Resends enough for each host that what is sent again is not for want of them.
+# Large enough that no resend is withheld for lack of retry budget.
 BOUNDS = Bounds(retry_extra=600)
 
 
@@ -26,7 +26,7 @@
     test: Callable[[CutFleet], Awaitable[None]],
     configuration: Stored | None = None,
 ) -> None:
-    """Run a test on a fleet within a bound of time."""
+    """Run a test on a fleet with a time limit."""
 
     async def main() -> None:
         async with (
@@ -39,7 +39,7 @@
 
 
 async def cut_off(fleet: CutFleet, *hosts: GatewayHost) -> None:
-    """Cut hosts off, and wait until they know."""
+    """Cut hosts off and wait until they have detected it."""
     fleet.cut(hosts, Cut.refuse)
     for host in hosts:
         caller = await Caller.connect_to(host.settings.callers)
@@ -61,12 +61,12 @@
 
 
 def taken(hosts: list[GatewayHost]) -> list[GatewayHost]:
-    """Return the hosts that have taken requests of others."""
+    """Return the hosts that have taken forwarded requests."""
     return [host for host in hosts if host.relays.taken]
 
 
 def seen_by(fleet: CutFleet, request_id: str) -> list[Seen]:
-    """Return a request as upstreams saw it, each time that it came."""
+    """Return a request as upstreams received it, once for each time."""
     return [
         seen
         for upstream in fleet.upstreams
@@ -75,12 +75,12 @@
     ]
 
 
-def script_all(fleet: CutFleet, script: object) -> None:
+def set_script(fleet: CutFleet, script: object) -> None:
     for upstream in fleet.upstreams:
         upstream.script = script  # type: ignore[assignment]
 
 
-def test_a_request_arrives_unchanged() -> None:
+def test_a_forwarded_request_arrives_unchanged() -> None:
     async def test(fleet: CutFleet) -> None:
         cut, sound = fleet.hosts[0], fleet.hosts[1]
         await cut_off(fleet, cut)
@@ -101,15 +101,15 @@
         (handed_on,) = seen_by(fleet, 'handed-on')
         assert handed_on.line == direct.line
         assert handed_on.body == direct.body
-        assert _kept(handed_on) == _kept(direct)
+        assert _fixed_headers(handed_on) == _fixed_headers(direct)
         left = handed_on.header('Wardstair-Deadline-Ms')
         assert 0 < int(left or 0) < 2000
 
     run(test)
 
 
-def _kept(seen: Seen) -> list[str]:
-    """Return the headers that do not differ from one send to the next."""
+def _fixed_headers(seen: Seen) -> list[str]:
+    """Return the headers that are the same for each send."""
     varying = (
         'wardstair-attempt-id',
         'wardstair-deadline-ms',
@@ -122,15 +122,15 @@
     )
 
 
-def test_work_ends_when_the_caller_of_the_first_host_leaves() -> None:
+def test_work_ends_when_the_caller_of_the_first_host_disconnects() -> None:
     async def test(fleet: CutFleet) -> None:
         cut = fleet.hosts[0]
         await cut_off(fleet, cut)
-        script_all(fleet, answer_never)
+        set_script(fleet, answer_never)
         caller = await Caller.connect_to(cut.settings.callers)
         await caller.send('/order/x', 'POST', b'o', 'left')
         await until(lambda: bool(seen_by(fleet, 'left')))
-        at = next(
+        upstream_in_use = next(
             one
             for one in fleet.upstreams
             if one.got_one.is_set()
@@ -138,7 +138,7 @@
         )
         caller.close()
         async with asyncio.timeout(0.5):
-            await at.closed_by_peer.wait()
+            await upstream_in_use.closed_by_peer.wait()
 
     run(test)
 
@@ -147,7 +147,7 @@
     ('target', 'method', 'status', 'runs'),
     [('/order/x', 'POST', 502, 1), ('/read/x', 'GET', 200, 2)],
 )
-def test_a_hop_that_breaks_leaves_the_outcome_unknown(
+def test_a_broken_hop_leaves_the_outcome_unknown(
     target: str,
     method: str,
     status: int,
@@ -156,14 +156,14 @@
     async def test(fleet: CutFleet) -> None:
         cut, *others = fleet.hosts
         await cut_off(fleet, cut)
-        script_all(fleet, answer_never)
+        set_script(fleet, answer_never)
         asked = asyncio.ensure_future(
             ask(cut, target, method, b'o' if method == 'POST' else b'', 'r1')
         )
         await until(lambda: bool(seen_by(fleet, 'r1')))
-        script_all(fleet, answer_ok)
-        (helper,) = taken(others)
-        await helper.close()
+        set_script(fleet, answer_ok)
+        (peer,) = taken(others)
+        await peer.close()
         answer = await asked
         assert answer.status == status
         assert len(seen_by(fleet, 'r1')) == runs
@@ -171,10 +171,10 @@
     run(test)
 
 
-def test_hosts_that_are_all_cut_off_hand_nothing_round() -> None:
+def test_hosts_that_are_all_cut_off_forward_nothing() -> None:
     async def test(fleet: CutFleet) -> None:
         await cut_off(fleet, *fleet.hosts)
-        # Until each has heard of the others.
+        # Wait until each has the reports of the others.
         await until(
             lambda: all(
                 one.lost for host in fleet.hosts for one in host.members.live()
@@ -191,7 +191,7 @@
     run(test)
 
 
-def test_a_body_goes_to_no_host_outside_the_regions_of_its_route() -> None:
+def test_a_body_is_forwarded_only_to_permitted_regions() -> None:
     async def test(fleet: CutFleet) -> None:
         cut = fleet.hosts_of('north-a')[0]
         await cut_off(fleet, cut)
@@ -208,15 +208,15 @@
     run(test, configuration_spec(1, home=home, read=read))
 
 
-def test_a_host_that_stops_ends_what_it_has_taken() -> None:
+def test_a_stopping_host_finishes_the_requests_that_it_has_taken() -> None:
     async def test(fleet: CutFleet) -> None:
         cut, *others = fleet.hosts
         await cut_off(fleet, cut)
-        script_all(fleet, _work_for_long)
+        set_script(fleet, _answer_slowly)
         asked = asyncio.ensure_future(ask(cut, '/order/x', 'POST', b'o', 'r1'))
         await until(lambda: bool(seen_by(fleet, 'r1')))
-        (helper,) = taken(others)
-        stopping = asyncio.ensure_future(helper.stop())
+        (peer,) = taken(others)
+        stopping = asyncio.ensure_future(peer.stop())
         answer = await asked
         assert answer.status == 200
         assert len(seen_by(fleet, 'r1')) == 1
@@ -225,7 +225,7 @@
     run(test)
 
 
-async def _work_for_long(
+async def _answer_slowly(
     upstream: UpstreamStandin,
     seen: Seen,
     writer: asyncio.StreamWriter,
--- a/tests/functional/test_hidden_resend.py
+++ b/tests/functional/test_hidden_resend.py
@@ -1,7 +1,7 @@
-"""libcurl sends again by itself when a reused connection closes early.
+"""libcurl sends a request again by itself if a reused connection closes early.
 
-The server here answers the first request of a connection and closes at the
-second without a byte of an answer, which is what brings the resend about.
+The server here answers the first request of a connection and closes it at the
+second without sending a byte, which causes the resend.
 """
 
 import asyncio
@@ -69,6 +69,6 @@
         listener.close()
 
     asyncio.run(test())
-    # The repeatable one shows that the trap is real: it is why a request
-    # that may not be repeated opens its own connection.
+    # The repeatable request shows that libcurl does send again. A request that
+    # may not be repeated therefore opens its own connection.
     assert server.received.count(b'/print-1') == times
--- a/tests/functional/test_lapse_or_removal.py
+++ b/tests/functional/test_lapse_or_removal.py
@@ -1,4 +1,9 @@
-"""An entry that vanishes right after a host has the store back."""
+"""Entries that disappear right after a host has regained the store.
+
+Upstreams cannot renew their entries during an outage of the store, so an entry
+that disappears afterwards may have expired. It was removed if another host had
+contact to the store during the outage or regained it earlier.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -17,7 +22,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a time limit."""
 
     async def main() -> None:
         async with asyncio.timeout(60):
@@ -27,13 +32,13 @@
 
 
 @dataclass(frozen=True)
-class LateHost:
-    """A host that may lose its way to the store, in a fleet of two.
+class ProxiedHost:
+    """A host that reaches the store through a proxy, in a fleet of two.
 
     Attributes:
         host: The host.
-        proxy: Its way to the store.
-        fleet: With the other host, which is never cut off.
+        proxy: The proxy between the host and the store.
+        fleet: The fleet. The proxy does not affect its other host.
     """
 
     host: GatewayHost
@@ -41,19 +46,19 @@
     fleet: Fleet
 
     async def cut_off(self, mode: Mode) -> None:
-        """Cut the host off from the store until it has noticed."""
+        """Cut the host off from the store and wait until it has noticed."""
         self.proxy.set_mode(mode)
         await until(lambda: self.host.contact.is_lost)
 
     async def bring_back(self) -> None:
-        """Give the host its way to the store back."""
+        """Restore the connection of the host to the store."""
         self.proxy.set_mode(Mode.carry)
         self.proxy.reset_all()
         contact = self.host.contact
         await until(lambda: contact.is_held and self.host.is_sentinel)
 
     async def remove(self, name: str) -> None:
-        """Remove an upstream, and wait until the host has read that."""
+        """Remove an upstream and wait until the host has read the removal."""
         store = self.fleet.store
         store.delete('servers', name)
         revision = store.revision
@@ -62,8 +67,8 @@
 
 
 @asynccontextmanager
-async def late_host() -> AsyncIterator[LateHost]:
-    """Run two hosts that both follow the store, and two upstreams."""
+async def proxied_host() -> AsyncIterator[ProxiedHost]:
+    """Run two hosts that both watch the store, and two upstreams."""
     upstreams = [UpstreamStandin('i-1'), UpstreamStandin('i-2')]
     async with running_fleet(1, upstreams) as fleet:
         proxy = Proxy(fleet.store.port)
@@ -72,7 +77,7 @@
         host = await fleet.start_host(1, port, proxy.port)
         await until(fleet.knows_all)
         await until(lambda: host.is_sentinel)
-        yield LateHost(host, proxy, fleet)
+        yield ProxiedHost(host, proxy, fleet)
         await proxy.stop()
 
 
@@ -83,39 +88,44 @@
 
 
 @pytest.mark.parametrize('mode', [Mode.reset, Mode.silence])
-def test_a_removal_is_no_lapse_where_another_host_had_the_store(
+def test_a_removal_is_applied_if_another_host_kept_the_store(
     mode: Mode,
 ) -> None:
     async def test() -> None:
-        async with late_host() as late:
-            await late.cut_off(mode)
-            await late.bring_back()
-            await late.remove('i-2')
-            assert not uses(late.host, 'i-2')
+        async with proxied_host() as proxied:
+            await proxied.cut_off(mode)
+            await proxied.bring_back()
+            await proxied.remove('i-2')
+            assert not uses(proxied.host, 'i-2')
 
     run(test)
 
 
-def test_a_removal_is_no_lapse_where_another_host_had_the_store_back() -> None:
+def test_a_removal_is_applied_if_another_host_regained_the_store_earlier() -> (
+    None
+):
     async def test() -> None:
-        async with late_host() as late:
-            store = late.fleet.store
-            first = late.fleet.hosts[0].contact
+        async with proxied_host() as proxied:
+            store = proxied.fleet.store
+            first_contact = proxied.fleet.hosts[0].contact
             store.status = 503
-            await late.cut_off(Mode.reset)
-            await until(lambda: first.is_lost)
+            await proxied.cut_off(Mode.reset)
+            await until(lambda: first_contact.is_lost)
             store.status = None
-            await until(lambda: first.is_held)
-            # Long enough for entries to be back, and to tell of it.
+            await until(lambda: first_contact.is_held)
+            # Long enough for entries to be written again and for a heartbeat
+            # that reports the contact.
             await asyncio.sleep(RETURN_SECONDS + BEAT_SECONDS)
-            await late.bring_back()
-            await late.remove('i-2')
-            assert not uses(late.host, 'i-2')
+            await proxied.bring_back()
+            await proxied.remove('i-2')
+            assert not uses(proxied.host, 'i-2')
 
     run(test)
 
 
-def test_what_vanishes_after_the_store_was_away_for_all_is_kept() -> None:
+def test_an_entry_missing_after_an_outage_for_all_hosts_is_kept_at_first() -> (
+    None
+):
     async def test() -> None:
         upstreams = [UpstreamStandin('i-1'), UpstreamStandin('i-2')]
         async with running_fleet(2, upstreams) as fleet:
--- a/tests/functional/test_late_listing.py
+++ b/tests/functional/test_late_listing.py
@@ -1,8 +1,8 @@
 """Listings that are answered late.
 
-Without the guards a late one takes the place of what other hosts have told of
-the store meanwhile, of a restored one or the same, and pages of two eras pass
-for one listing.
+A late listing must not replace newer state that other hosts have sent in the
+meantime, from a restored store or from the same one. Pages of two eras must not
+be accepted as one listing.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a time limit."""
 
     async def main() -> None:
         async with asyncio.timeout(30):
@@ -45,26 +45,26 @@
 
 
 @pytest.mark.parametrize(
-    ('listed_era', 'is_taken'),
+    ('listed_era', 'is_adopted'),
     [
         pytest.param(1, False, id='of the era before'),
         pytest.param(2, True, id='of this era'),
     ],
 )
-def test_a_listing_of_the_era_before_changes_nothing(
+def test_a_listing_of_the_previous_era_changes_nothing(
     monkeypatch: pytest.MonkeyPatch,
     listed_era: int,
     *,
-    is_taken: bool,
+    is_adopted: bool,
 ) -> None:
     listings = 0
-    is_told = asyncio.Event()
+    is_answer_due = asyncio.Event()
     is_watching = asyncio.Event()
 
     async def list_kind(_kind: str, **_how: bool) -> Result[Listing, str]:
         nonlocal listings
         listings += 1
-        await is_told.wait()
+        await is_answer_due.wait()
         return Ok(Listing((), at(40, listed_era)))
 
     async def watch_kind(*_arguments: object) -> None:
@@ -83,13 +83,14 @@
         sync = StoreSync(store, contact, local_state, roles, lambda: timing)
         task = asyncio.ensure_future(sync.upstreams.run())
         await until(lambda: listings == 1)
-        # Another host tells of the restored store before the answer comes.
+        # Another host sends the state of the restored store before the answer
+        # arrives.
         local_state.catalog.replace_all([ENTRY], at(9, 2), store_was_away=False)
-        is_told.set()
+        is_answer_due.set()
         await is_watching.wait()
         known = local_state.catalog.revision
-        assert known == (at(40, 2) if is_taken else at(9, 2))
-        assert bool(local_state.catalog.of_service('views')) is not is_taken
+        assert known == (at(40, 2) if is_adopted else at(9, 2))
+        assert bool(local_state.catalog.of_service('views')) is not is_adopted
         task.cancel()
         store.close()
 
@@ -104,34 +105,34 @@
 
 
 @dataclass
-class LateHost:
-    """A host that waits for a listing, and what it does then.
+class ListingHost:
+    """A host that waits for a listing, and its calls afterwards.
 
     Attributes:
-        sync: What follows the store.
-        catalog: What it knows; two upstreams before the listing is asked.
-        watched: Revisions from which on it watched.
-        told: How often it told that there is news.
+        sync: Watches the store.
+        catalog: The upstreams of the host; it has two before the answer.
+        watched: Revisions at which watches began.
+        updates: How often the host announced an update.
     """
 
     sync: StoreSync
     catalog: Catalog
     watched: list[Revision] = field(default_factory=list)
-    told: int = 0
+    updates: int = 0
 
-    def note_told(self) -> None:
-        """Count a word that there is news."""
-        self.told += 1
+    def count_update(self) -> None:
+        """Count an announced update."""
+        self.updates += 1
 
 
-async def take_in_listing(
+async def receive_listing(
     monkeypatch: pytest.MonkeyPatch,
     listing: Listing,
     meanwhile: Callable[[Catalog], None],
-) -> LateHost:
-    """Have a host list upstreams, and learn of others before the answer."""
-    is_asked = asyncio.Event()
-    is_told = asyncio.Event()
+) -> ListingHost:
+    """List upstreams and apply updates of other hosts before the answer."""
+    is_requested = asyncio.Event()
+    is_answer_due = asyncio.Event()
     is_watching = asyncio.Event()
     store = Store(f'{ADDRESS}:1')
     clock = Clock()
@@ -139,12 +140,12 @@
     timing = timing_for(2.5, 4.0)
     contact = StoreContact(clock, Random(1))
     sync = StoreSync(store, contact, local_state, Roles(), lambda: timing)
-    host = LateHost(sync, local_state.catalog)
-    sync.on_update = host.note_told
+    host = ListingHost(sync, local_state.catalog)
+    sync.on_update = host.count_update
 
     async def list_kind(_kind: str, **_how: bool) -> Result[Listing, str]:
-        is_asked.set()
-        await is_told.wait()
+        is_requested.set()
+        await is_answer_due.wait()
         return Ok(listing)
 
     async def watch_kind(_kind: str, since: Revision, _seconds: float) -> None:
@@ -155,68 +156,68 @@
     monkeypatch.setattr(store, 'list_kind', list_kind)
     monkeypatch.setattr(store, 'watch_kind', watch_kind)
     task = asyncio.ensure_future(sync.upstreams.run())
-    await is_asked.wait()
+    await is_requested.wait()
     entry = replace(ENTRY, revision=at(3))
     other = replace(ENTRY, name='i-2', revision=at(4))
     local_state.catalog.replace_all([entry, other], at(9), store_was_away=False)
     meanwhile(local_state.catalog)
-    is_told.set()
+    is_answer_due.set()
     await is_watching.wait()
     task.cancel()
     store.close()
     return host
 
 
-def test_a_listing_older_than_what_others_told_brings_nobody_back(
+def test_a_listing_older_than_updates_of_peers_restores_no_upstream(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def remove(catalog: Catalog) -> None:
-        # It still answers a request of this host.
+        # The upstream still works on a request of this host.
         catalog.upstreams[ENTRY.name].running[1] = RunningSend(100.0, 1.0, 1.0)
         catalog.apply([], [ENTRY.name], at(12), store_was_away=False)
 
     async def test() -> None:
         listing = Listing((LISTED,), at(10))
-        host = await take_in_listing(monkeypatch, listing, remove)
+        host = await receive_listing(monkeypatch, listing, remove)
         used = [one.name for one in host.catalog.of_service('views')]
         assert used == ['i-2']
         assert host.catalog.revision == at(12)
-        # It goes on from what it knows, and lists no more.
+        # The host watches from its own revision and lists no more.
         assert host.watched == [at(12)]
         assert host.sync.upstreams.revision == at(12)
         assert host.sync.upstreams.has_listed
-        assert host.told == 0
+        assert host.updates == 0
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    ('listed', 'told'),
+    ('listed', 'updates'),
     [
         pytest.param(10, 1, id='newer'),
         pytest.param(9, 0, id='known'),
     ],
 )
-def test_what_a_listing_brings_is_told_at_once(
+def test_changes_from_a_listing_are_announced_at_once(
     monkeypatch: pytest.MonkeyPatch,
     listed: int,
-    told: int,
+    updates: int,
 ) -> None:
     async def test() -> None:
-        host = await take_in_listing(
+        host = await receive_listing(
             monkeypatch,
             Listing((LISTED,), at(listed)),
             lambda _catalog: None,
         )
         used = [one.name for one in host.catalog.of_service('views')]
         assert used == [ENTRY.name]
-        assert host.told == told
+        assert host.updates == updates
 
     run(test)
 
 
 class _Pages(RequestHandler):
-    """The second page may come from another era, or from later."""
+    """Serves two pages; the second may have another era or revision."""
 
     def initialize(self, second_era: str, second_revision: int = 9) -> None:
         self._second_era = second_era
@@ -236,7 +237,7 @@
 
 
 async def list_pages(**second: object) -> Result[Listing, PlatformError]:
-    """List a kind that comes in two pages."""
+    """List a kind that is served in two pages."""
     sockets = bind_sockets(0, ADDRESS)
     handler = ('/objects/servers', _Pages, second)
     server = HTTPServer(Application([handler]))
@@ -249,7 +250,7 @@
 
 
 @pytest.mark.parametrize('second_era', ['1', '2'])
-def test_pages_of_two_eras_are_no_listing(second_era: str) -> None:
+def test_pages_of_two_eras_are_rejected(second_era: str) -> None:
     async def test() -> None:
         listed = await list_pages(second_era=second_era)
         assert isinstance(listed, Err) is (second_era == '2')
