--- a/tests/functional/test_leaving_in_time.py
+++ b/tests/functional/test_leaving_in_time.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave while a part of the way of that news fails."""
+"""Upstreams that leave while part of the update propagation path fails."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,7 +22,7 @@
 
 
 def run(measure: Callable[[], Awaitable[float]]) -> float:
-    """Return what a test measures within a bound of time."""
+    """Return what a test measures, with a timeout."""
 
     async def main() -> float:
         async with asyncio.timeout(60):
@@ -32,64 +32,64 @@
 
 
 def silence_all(fleet: NewsFleet) -> None:
-    """Have each waiting watch hear nothing; new connections work."""
+    """Silence all open watches; new connections work."""
     for proxy in fleet.proxies:
         proxy.silence_open()
 
 
 def silence_one_sentinel(fleet: NewsFleet) -> None:
-    """Have the waiting watches of one sentinel hear nothing."""
+    """Silence the open watches of one sentinel."""
     for proxy in fleet.proxies_of(fleet.sentinels[:1]):
         proxy.silence_open()
 
 
 def cut_off_sentinels(fleet: NewsFleet) -> None:
-    """Have nothing arrive any more on the ways of both sentinels."""
+    """Drop all traffic between both sentinels and the store."""
     for proxy in fleet.proxies_of(fleet.sentinels):
         proxy.set_mode(Mode.silence)
 
 
 @pytest.mark.parametrize('bound', [1.5, 2.5])
-def test_a_leaving_upstream_is_known_in_time_when_all_watches_fall_silent(
+def test_hosts_drop_a_leaving_upstream_in_time_when_watches_are_silent(
     bound: float,
 ) -> None:
     assert run(lambda: _seconds_to_leave(silence_all, bound)) < bound
 
 
-def test_a_sentinel_whose_watches_fall_silent_learns_from_others() -> None:
+def test_a_sentinel_with_silent_watches_learns_from_peers() -> None:
     bound = 1.5
     assert run(lambda: _seconds_to_leave(silence_one_sentinel, bound)) < bound
 
 
-def test_sentinels_that_lose_their_way_to_the_store_learn_from_others() -> None:
+def test_sentinels_cut_off_from_the_store_learn_from_peers() -> None:
     bound = 2.5
     assert run(lambda: _seconds_to_leave(cut_off_sentinels, bound)) < bound
 
 
 async def _seconds_to_leave(
-    harm: Callable[[NewsFleet], None],
+    inject_failure: Callable[[NewsFleet], None],
     bound: float,
 ) -> float:
     async with running_news_fleet(bounds_of(bound)) as fleet:
         await fleet.begin_watches()
-        harm(fleet)
+        inject_failure(fleet)
         fleet.let_leave('i-1')
         return await seconds_until(
             lambda: not any(uses(one, 'i-1') for one in fleet.hosts)
         )
 
 
-def test_another_host_is_asked_while_one_does_not_answer() -> None:
+def test_another_peer_is_queried_while_one_does_not_answer() -> None:
     async def measure() -> float:
         async with running_news_fleet(bounds_of(2.5)) as fleet:
             late = next(one for one in fleet.hosts if not one.is_sentinel)
             silent: asyncio.Future[HTTPResponse] = asyncio.Future()
-            asked: list[HTTPRequest] = []
+            requests: list[HTTPRequest] = []
             answer = late.exchange.ask
 
             def ask(request: HTTPRequest) -> Awaitable[HTTPResponse]:
-                asked.append(request)
-                return answer(request) if len(asked) > 1 else silent
+                requests.append(request)
+                return answer(request) if len(requests) > 1 else silent
 
             late.exchange.ask = ask
             fleet.let_leave('i-1')
@@ -100,8 +100,8 @@
     run(measure)
 
 
-def stand_still(fleet: NewsFleet) -> None:
-    """Have nothing come from both sentinels any more."""
+def stop_sentinels(fleet: NewsFleet) -> None:
+    """Stop the heartbeats and the store traffic of both sentinels."""
     for host in fleet.sentinels:
         host.radio.stop()
     cut_off_sentinels(fleet)
@@ -114,7 +114,7 @@
 
 
 def forget_history(fleet: NewsFleet) -> None:
-    """Have watches hear nothing for a second, and end then."""
+    """Silence all watches, compact the history, and end them after 1 s."""
     fleet.store.silence_watches()
     asyncio.get_running_loop().call_later(1.0, _end_watches, fleet)
 
@@ -139,16 +139,16 @@
 
 
 @pytest.mark.parametrize(
-    ('harm', 'write', 'is_known'),
+    ('inject_failure', 'write', 'is_known'),
     [
-        pytest.param(harm, write, is_known, id=f'{failure}, {news}')
-        for failure, harm in (
+        pytest.param(inject_failure, write, is_known, id=f'{failure}, {update}')
+        for failure, inject_failure in (
             ('silent watches', silence_all),
-            ('sentinels that stand still', stand_still),
+            ('stopped sentinels', stop_sentinels),
             ('lost datagrams', lose_datagrams),
-            ('a store that forgets', forget_history),
+            ('compacted history', forget_history),
         )
-        for news, write, is_known in (
+        for update, write, is_known in (
             ('leaving', leave, lambda host: not uses(host, 'i-1')),
             (
                 'evacuation',
@@ -163,8 +163,8 @@
         )
     ],
 )
-def test_news_is_known_in_time_though_a_part_of_its_way_fails(
-    harm: Callable[[NewsFleet], None],
+def test_updates_arrive_in_time_while_part_of_their_path_fails(
+    inject_failure: Callable[[NewsFleet], None],
     write: Callable[[NewsFleet], None],
     is_known: Callable[[GatewayHost], bool],
 ) -> None:
@@ -173,29 +173,31 @@
     async def measure() -> float:
         async with running_news_fleet(bounds_of(bound)) as fleet:
             await fleet.begin_watches()
-            excused = fleet.sentinels if harm is stand_still else []
-            harm(fleet)
+            excused = (
+                fleet.sentinels if inject_failure is stop_sentinels else []
+            )
+            inject_failure(fleet)
             write(fleet)
-            held = [one for one in fleet.hosts if one not in excused]
-            return await seconds_until(lambda: all(map(is_known, held)))
+            checked = [one for one in fleet.hosts if one not in excused]
+            return await seconds_until(lambda: all(map(is_known, checked)))
 
     assert run(measure) < bound
 
 
-def test_clocks_renew_no_watch_in_whose_kind_nothing_changes() -> None:
+def test_watches_of_an_unchanged_kind_are_not_renewed() -> None:
     async def measure() -> float:
         async with running_news_fleet(bounds_of(1.5)) as fleet:
             await fleet.begin_watches()
             period = timing_for(1.5, 2.0).second_watch
-            # A watch that is young is renewed by the clock after.
+            # Watches younger than one period may still be renewed once.
             await asyncio.sleep(2 * period)
-            begun = watches_of(fleet, 'servers')
+            started = watches_of(fleet, 'servers')
             await asyncio.sleep(4 * period)
-            return watches_of(fleet, 'servers') - begun
+            return watches_of(fleet, 'servers') - started
 
     assert not run(measure)
 
 
 def watches_of(fleet: NewsFleet, kind: str) -> int:
-    """Return how many watches of a kind have begun."""
+    """Return how many watches of a kind were started."""
     return sum(f'{kind}?watch' in call for call in fleet.store.calls)
--- a/tests/functional/test_leaving_while_connecting.py
+++ b/tests/functional/test_leaving_while_connecting.py
@@ -1,4 +1,4 @@
-"""Upstreams that are known to leave while a connection to them is opened."""
+"""Upstreams that leave while a connection to them is being opened."""
 
 import asyncio
 from collections import Counter
@@ -16,7 +16,7 @@
 from wardstair.fleet.relaying import RelayedRequest
 from wardstair.state.local_state import LocalState
 
-LEAVER = 'i-1'
+LEAVING = 'i-1'
 OTHER = 'i-2'
 REQUESTS = 12
 IDS = [f'r{number}' for number in range(REQUESTS)]
@@ -30,14 +30,14 @@
 
 
 @dataclass
-class LateConnections:
-    """Has all who open a connection wait until they may go on.
+class DelayedConnections:
+    """Delays every new connection of a pool until an event is set.
 
     Attributes:
-        pool: Its connections.
-        opened_before: Whether they are opened before the wait, or after it.
-        waiting: Names of the upstreams that are waited for.
-        may_go_on: Ends the wait.
+        pool: Pool whose connections are delayed.
+        opened_before: Whether a connection opens before the wait, not after.
+        waiting: Names of the upstreams whose connections are delayed.
+        may_go_on: Ends the wait when it is set.
     """
 
     pool: UpstreamPool
@@ -64,32 +64,32 @@
         return await self._connect(name, host, port)
 
 
-def drains(rig: Rig, upstream: UpstreamStandin) -> None:
+def drain(rig: Rig, upstream: UpstreamStandin) -> None:
     entry = upstream_spec(upstream.port, state='draining')
     rig.store.put('servers', upstream.name, entry)
 
 
-def goes(rig: Rig, upstream: UpstreamStandin) -> None:
+def remove(rig: Rig, upstream: UpstreamStandin) -> None:
     rig.store.delete('servers', upstream.name)
 
 
-def is_evacuated(rig: Rig, _upstream: UpstreamStandin) -> None:
+def evacuate(rig: Rig, _upstream: UpstreamStandin) -> None:
     rig.store.put('evacuations', 'north-a', {})
 
 
 Leave = Callable[[Rig, UpstreamStandin], None]
-LEAVES = pytest.mark.parametrize('leave', [drains, goes, is_evacuated])
+LEAVES = pytest.mark.parametrize('leave', [drain, remove, evacuate])
 
 
 def has_left(local_state: LocalState) -> bool:
-    """Return whether a host knows that the upstream takes no more."""
+    """Return whether a host knows that the upstream takes no requests."""
     known = local_state.catalog.of_service('views')
-    is_listed = any(one.name == LEAVER for one in known)
+    is_listed = any(one.name == LEAVING for one in known)
     return not is_listed or 'north-a' in local_state.evacuated
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a timeout."""
 
     async def main() -> None:
         async with asyncio.timeout(30):
@@ -121,7 +121,7 @@
     target: str,
     method: str,
 ) -> 'asyncio.Future[list[Answer]]':
-    """Send requests for many keys; each upstream is the home of some."""
+    """Send requests with many keys; each upstream is preferred for some."""
     body = b'1' if method == 'POST' else b''
     return asyncio.gather(
         *(rig.ask(target, method, body, name, key=name) for name in IDS)
@@ -133,8 +133,8 @@
 @pytest.mark.parametrize(
     ('target', 'method'),
     [
-        pytest.param('/read/x', 'GET', id='may be repeated'),
-        pytest.param('/order/x', 'POST', id='may run once'),
+        pytest.param('/read/x', 'GET', id='repeatable'),
+        pytest.param('/order/x', 'POST', id='once only'),
     ],
 )
 def test_a_request_that_waits_for_a_connection_goes_elsewhere(
@@ -146,48 +146,48 @@
     opened_before: bool,
 ) -> None:
     async def test() -> None:
-        leaver = UpstreamStandin(LEAVER)
+        leaving = UpstreamStandin(LEAVING)
         other = UpstreamStandin(OTHER)
-        async with Rig(leaver, other) as rig:
+        async with Rig(leaving, other) as rig:
             await move_other(rig, other)
-            late = LateConnections(rig.gateway.pool, opened_before)
-            monkeypatch.setattr(rig.gateway.pool, 'connect', late.connect)
-            asked = begin_many(rig, target, method)
-            await rig.until(lambda: len(late.waiting) >= REQUESTS)
-            assert LEAVER in late.waiting
-            leave(rig, leaver)
+            delayed = DelayedConnections(rig.gateway.pool, opened_before)
+            monkeypatch.setattr(rig.gateway.pool, 'connect', delayed.connect)
+            pending = begin_many(rig, target, method)
+            await rig.until(lambda: len(delayed.waiting) >= REQUESTS)
+            assert LEAVING in delayed.waiting
+            leave(rig, leaving)
             await rig.until(lambda: has_left(rig.gateway.local_state))
-            late.may_go_on.set()
-            answers = await asked
+            delayed.may_go_on.set()
+            answers = await pending
             assert {answer.status for answer in answers} == {200}
-            assert not leaver.seen
-            came = Counter(seen.request_id for seen in other.seen)
-            assert set(came) == set(IDS)
+            assert not leaving.seen
+            counts = Counter(seen.request_id for seen in other.seen)
+            assert set(counts) == set(IDS)
             if method == 'POST':
-                assert set(came.values()) == {1}
+                assert set(counts.values()) == {1}
 
     run(test)
 
 
 @LEAVES
-def test_the_only_upstream_is_left_out_as_for_later_requests(
+def test_a_waiting_request_is_refused_like_a_later_one(
     leave: Leave,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        leaver = UpstreamStandin(LEAVER)
-        async with Rig(leaver) as rig:
-            late = LateConnections(rig.gateway.pool)
-            monkeypatch.setattr(rig.gateway.pool, 'connect', late.connect)
-            asked = begin_many(rig, '/order/x', 'POST')
-            await rig.until(lambda: bool(late.waiting))
-            leave(rig, leaver)
+        leaving = UpstreamStandin(LEAVING)
+        async with Rig(leaving) as rig:
+            delayed = DelayedConnections(rig.gateway.pool)
+            monkeypatch.setattr(rig.gateway.pool, 'connect', delayed.connect)
+            pending = begin_many(rig, '/order/x', 'POST')
+            await rig.until(lambda: bool(delayed.waiting))
+            leave(rig, leaving)
             await rig.until(lambda: has_left(rig.gateway.local_state))
-            late.may_go_on.set()
-            answers = await asked
+            delayed.may_go_on.set()
+            answers = await pending
             later = await rig.ask('/order/x', 'POST', b'1', 'late')
             assert later.status == 503
-            assert not leaver.seen
+            assert not leaving.seen
             refused = {
                 (answer.status, answer.body.replace(name.encode(), b'late'))
                 for name, answer in zip(IDS, answers, strict=True)
@@ -197,66 +197,69 @@
     run(test)
 
 
-def test_a_connection_to_an_earlier_life_carries_nothing_for_the_next(
+def test_a_connection_to_a_previous_incarnation_is_not_used_for_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        before = UpstreamStandin(LEAVER)
-        after = UpstreamStandin(LEAVER)
+        before = UpstreamStandin(LEAVING)
+        after = UpstreamStandin(LEAVING)
         other = UpstreamStandin(OTHER)
         async with Rig(before) as rig, started(after), started(other):
             pool = rig.gateway.pool
-            late = LateConnections(pool, opened_before=True)
-            monkeypatch.setattr(pool, 'connect', late.connect)
-            asked = asyncio.ensure_future(rig.ask('/order/x', 'POST', b'1'))
-            await rig.until(lambda: late.waiting == [LEAVER])
+            delayed = DelayedConnections(pool, opened_before=True)
+            monkeypatch.setattr(pool, 'connect', delayed.connect)
+            pending = asyncio.ensure_future(rig.ask('/order/x', 'POST', b'1'))
+            await rig.until(lambda: delayed.waiting == [LEAVING])
             rig.store.put('servers', OTHER, upstream_spec(other.port))
             entry = upstream_spec(after.port)
-            rig.store.put('servers', LEAVER, {**entry, 'born': 1})
+            rig.store.put('servers', LEAVING, {**entry, 'born': 1})
             known = rig.gateway.local_state.catalog.upstreams
             await rig.until(
-                lambda: OTHER in known and known[LEAVER].entry.born == 1
+                lambda: OTHER in known and known[LEAVING].entry.born == 1
             )
-            late.may_go_on.set()
-            assert (await asked).status == 200
+            delayed.may_go_on.set()
+            assert (await pending).status == 200
             assert not before.seen
-            assert pool.borrow(LEAVER, is_once=False) is None
+            assert pool.borrow(LEAVING, is_once=False) is None
 
     run(test)
 
 
 @LEAVES
-def test_a_request_of_another_host_goes_elsewhere_too(
+def test_a_request_forwarded_by_a_peer_goes_elsewhere_too(
     leave: Leave,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        leaver = UpstreamStandin(LEAVER)
+        leaving = UpstreamStandin(LEAVING)
         other = UpstreamStandin(OTHER)
-        async with Rig(leaver, other) as rig:
+        async with Rig(leaving, other) as rig:
             await move_other(rig, other)
-            late = LateConnections(rig.gateway.pool)
-            monkeypatch.setattr(rig.gateway.pool, 'connect', late.connect)
+            delayed = DelayedConnections(rig.gateway.pool)
+            monkeypatch.setattr(rig.gateway.pool, 'connect', delayed.connect)
             forwarder = rig.gateway.forwarder
-            asked = asyncio.gather(
-                *(forwarder.serve_peer_request(relayed(name)) for name in IDS)
+            pending = asyncio.gather(
+                *(
+                    forwarder.serve_peer_request(forwarded_request(name))
+                    for name in IDS
+                )
             )
-            await rig.until(lambda: len(late.waiting) >= REQUESTS)
-            assert LEAVER in late.waiting
-            leave(rig, leaver)
+            await rig.until(lambda: len(delayed.waiting) >= REQUESTS)
+            assert LEAVING in delayed.waiting
+            leave(rig, leaving)
             await rig.until(lambda: has_left(rig.gateway.local_state))
-            late.may_go_on.set()
-            answers = await asked
+            delayed.may_go_on.set()
+            answers = await pending
             assert {answer.status for answer in answers} == {200}
-            assert not leaver.seen
-            came = sorted(seen.request_id for seen in other.seen)
-            assert came == sorted(IDS)
+            assert not leaving.seen
+            received = sorted(seen.request_id for seen in other.seen)
+            assert received == sorted(IDS)
 
     run(test)
 
 
-def relayed(name: str) -> RelayedRequest:
-    """Return a request that may run only once, as another host hands it on."""
+def forwarded_request(name: str) -> RelayedRequest:
+    """Return a once-only request as a peer forwards it."""
     return RelayedRequest(
         request_id=name,
         method='POST',
--- a/tests/functional/test_memory.py
+++ b/tests/functional/test_memory.py
@@ -1,4 +1,4 @@
-"""What may grow is bounded."""
+"""Bounds on the memory of pipes, the journal and decoded messages."""
 
 from random import Random
 
@@ -17,7 +17,7 @@
 )
 
 
-def test_a_pipe_holds_its_limit_and_one_chunk() -> None:
+def test_a_pipe_accepts_its_limit_plus_one_chunk() -> None:
     pipe = Pipe(limit=100)
     accepted = 0
     while pipe.offer(b'x' * 64):
@@ -27,7 +27,7 @@
     assert pipe.offer(b'y')
 
 
-def test_the_journal_forgets_the_oldest() -> None:
+def test_the_journal_evicts_the_oldest_entry() -> None:
     journal = Journal(entries=3)
     for number in range(5):
         journal.open(str(number), 1)
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize('count', [1, 300])
-def test_messages_come_back_as_they_were(count: int) -> None:
+def test_messages_survive_encoding_and_decoding(count: int) -> None:
     hosts = tuple(
         FarHost(f'host-{number}', '01', leaving=False)
         for number in range(count)
@@ -50,17 +50,17 @@
     'raw',
     [b'', b'\xff', DEFLATED, DEFLATED + b'junk', b'\xa1\x64kind\x61x'],
 )
-def test_junk_is_refused(raw: bytes) -> None:
+def test_malformed_messages_are_rejected(raw: bytes) -> None:
     assert decode(raw).is_err()
 
 
-def test_a_small_message_cannot_unpack_to_a_huge_one() -> None:
+def test_a_small_message_that_inflates_beyond_the_limit_is_rejected() -> None:
     raw = encode(PartGive(b'0' * (2 * MAX_MESSAGE_BYTES)))
     assert len(raw) < MAX_MESSAGE_BYTES / 100
     assert decode(raw).is_err()
 
 
-def test_random_bytes_never_raise() -> None:
+def test_decoding_random_bytes_never_raises() -> None:
     random = Random(1)
     for _ in range(2000):
         raw = random.randbytes(random.randrange(40))
--- a/tests/functional/test_missing_in_touch.py
+++ b/tests/functional/test_missing_in_touch.py
@@ -1,7 +1,8 @@
-"""An upstream that a host just back takes for lapsed, and that was removed.
+"""A removed upstream that a reconnected peer reports as possibly expired.
 
-Hosts whose contact with the store is unbroken know better: without that they
-drop their own word of the removal, and use the upstream for two seconds more.
+A host whose contact with the store was not interrupted knows that the entry was
+removed. Otherwise it would ignore the removal that it reads itself and use the
+upstream for two more seconds.
 """
 
 import asyncio
@@ -41,7 +42,7 @@
 
 @dataclass
 class Host:
-    """A host that knows two upstreams up to revision 9."""
+    """State of a host that knows two upstreams up to revision 9."""
 
     clock: Clock
     store: Store
@@ -51,18 +52,18 @@
 
     @property
     def used(self) -> list[str]:
-        """Names of the upstreams that it would use."""
+        """Names of the upstreams in use."""
         return [one.name for one in self.catalog.of_service('views')]
 
     def hold_contact(self, seconds: float) -> None:
-        """Have the store answer each second."""
+        """Have the store answer once a second."""
         for _ in range(int(seconds)):
             self.contact.note_success()
             self.clock.now += 1
         self.contact.note_success()
 
     def lose_contact(self, seconds: float) -> None:
-        """Have the store be away, and then answer again."""
+        """Make the store unavailable for a time, then have it answer again."""
         self.contact.note_failure('test')
         self.clock.now += seconds
         self.contact.note_success()
@@ -70,7 +71,7 @@
 
 @contextmanager
 def running_host(clock: Clock) -> Iterator[Host]:
-    """Prepare a host whose contact with the store has long been unbroken."""
+    """Prepare a host with uninterrupted contact to the store for 10 s."""
     store = Store(f'{ADDRESS}:1')
     catalog = Catalog(clock)
     catalog.replace_all([KNOWN, OTHER], at(9), store_was_away=False)
@@ -86,18 +87,18 @@
     store.close()
 
 
-def tell_missing(host: Host) -> None:
-    """Have a host just back tell the removal of an upstream as a lapse."""
-    back = Catalog(host.clock)
-    back.replace_all([KNOWN, OTHER], at(9), store_was_away=False)
-    back.apply([], [ENTRY.name], at(12), store_was_away=True)
-    changes = back.changes_since(host.catalog.revision)
+def report_missing(host: Host) -> None:
+    """Have a reconnected peer report a removed upstream as missing."""
+    peer = Catalog(host.clock)
+    peer.replace_all([KNOWN, OTHER], at(9), store_was_away=False)
+    peer.apply([], [ENTRY.name], at(12), store_was_away=True)
+    changes = peer.changes_since(host.catalog.revision)
     assert ENTRY.name in changes.missing
     assert host.catalog.merge_peer_changes(changes)
 
 
 async def read_removal(host: Host, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have the host read the removal itself, at the revision it was told."""
+    """Have the host read the removal itself, at the reported revision."""
 
     async def poll_changes(*_arguments: object) -> Result[Changes, str]:
         return Ok(Changes((DELETED,), at(12)))
@@ -106,12 +107,12 @@
     await host.sync.upstreams.check()
 
 
-def test_a_host_in_touch_takes_what_another_misses_for_removed() -> None:
+def test_a_host_in_contact_treats_a_reported_missing_entry_as_removed() -> None:
     async def test() -> None:
         with running_host(Clock()) as host:
-            tell_missing(host)
+            report_missing(host)
             assert host.used == ['i-2']
-            # Others that are behind learn the same from it.
+            # It reports the removal to peers that are behind.
             assert host.catalog.changes_since(at(9)).removed == (ENTRY.name,)
 
     asyncio.run(test())
@@ -124,7 +125,7 @@
         pytest.param(None, id='answers too far apart'),
     ],
 )
-def test_what_may_have_lapsed_for_this_host_too_is_kept(
+def test_an_entry_that_may_have_expired_is_kept(
     away_seconds: float | None,
 ) -> None:
     async def test() -> None:
@@ -134,7 +135,7 @@
                 host.contact.note_success()
             else:
                 host.lose_contact(away_seconds)
-            tell_missing(host)
+            report_missing(host)
             assert host.used == ['i-1', 'i-2']
             host.clock.now += RETURN_SECONDS
             host.catalog.expire_missing()
@@ -143,30 +144,30 @@
     asyncio.run(test())
 
 
-def test_what_another_host_misses_after_a_restore_is_kept() -> None:
+def test_an_entry_that_a_peer_misses_after_a_restore_is_kept() -> None:
     async def test() -> None:
         with running_host(Clock()) as host:
-            back = Catalog(host.clock)
-            back.replace_all([KNOWN, OTHER], at(9), store_was_away=False)
+            peer = Catalog(host.clock)
+            peer.replace_all([KNOWN, OTHER], at(9), store_was_away=False)
             copied = replace(OTHER, revision=at(4, era=2))
-            back.replace_all([copied], at(7, era=2), store_was_away=False)
-            assert host.catalog.merge_peer_changes(back.changes_since(at(9)))
+            peer.replace_all([copied], at(7, era=2), store_was_away=False)
+            assert host.catalog.merge_peer_changes(peer.changes_since(at(9)))
             assert host.used == ['i-1', 'i-2']
 
     asyncio.run(test())
 
 
 @pytest.mark.parametrize('was_away', [False, True])
-def test_own_word_of_a_removal_counts_where_another_told_of_a_lapse(
+def test_a_removal_read_from_the_store_overrides_a_report_of_expiry(
     monkeypatch: pytest.MonkeyPatch,
     *,
     was_away: bool,
 ) -> None:
     async def test() -> None:
         with running_host(Clock()) as host:
-            # Back too short to know better second-hand.
+            # Contact is too recent to rule out expiry on a peer report.
             host.lose_contact(HARMLESS_SECONDS + 1 if was_away else 0.5)
-            tell_missing(host)
+            report_missing(host)
             assert host.used == ['i-1', 'i-2']
             await read_removal(host, monkeypatch)
             assert host.used == (['i-1', 'i-2'] if was_away else ['i-2'])
--- a/tests/functional/test_news_age.py
+++ b/tests/functional/test_news_age.py
@@ -1,11 +1,11 @@
-"""How old the state of a host gets while two parts of the way of news fail."""
+"""Age of the state of hosts while two hops of the propagation path fail."""
 
 import pytest
 from lib.news_troubles import BOUNDS, play_troubles
 
 from wardstair.decisions.timing import MAX_BOUND_SHARE
 
-# Zones in each of three regions, and hosts in each zone.
+# Zones per region, of which there are three, and hosts per zone.
 ZONES = 2
 HOSTS = 1
 
@@ -18,7 +18,7 @@
         pytest.param(('watches_silent', 'ways_late'), 1, id='watches silent'),
     ],
 )
-def test_no_host_uses_an_upstream_for_long_while_two_links_fail(
+def test_no_host_uses_a_leaving_upstream_for_long_while_two_hops_fail(
     troubles: tuple[str, ...],
     seed: int,
 ) -> None:
--- a/tests/functional/test_older_era.py
+++ b/tests/functional/test_older_era.py
@@ -1,7 +1,8 @@
-"""A host that is still in an older era of the store than the others.
+"""A host that knows an older era of the store than its peers.
 
-Its way to the store is cut while the store is restored. It hears of the new era
-from the others only, and must neither overrule them nor fall behind.
+Its connection to the store is cut while the store is restored. It learns of the
+new era from its peers only. It must neither override their state nor fall
+behind.
 """
 
 import asyncio
@@ -16,12 +17,12 @@
 from soak.proxy import Mode, Proxy
 
 HOSTS = 3
-# Longer than a host that is back takes to read the store and tell the others.
+# Longer than a reconnected host takes to read the store and update its peers.
 SETTLED_SECONDS = 1.0
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a timeout."""
 
     async def main() -> None:
         async with asyncio.timeout(60):
@@ -32,7 +33,7 @@
 
 @pytest.mark.parametrize('restores', [1, 2])
 @pytest.mark.parametrize('mode', [Mode.reset, Mode.silence])
-def test_it_follows_the_others_and_overrules_nobody(
+def test_a_host_in_an_older_era_follows_its_peers(
     restores: int,
     mode: Mode,
 ) -> None:
@@ -45,7 +46,7 @@
             late = await fleet.start_host(HOSTS, port, proxy.port)
             await until(fleet.knows_all)
             copy = fleet.store.copy()
-            # Known to all with high revisions, and lost.
+            # All hosts learn these at high revisions, which the copy lacks.
             fleet.store.put('evacuations', ZONES[0], {})
             await until(lambda: is_evacuated(fleet, ZONES[0]))
             fleet.store.delete('evacuations', ZONES[0])
