--- a/tests/functional/test_named_limits.py
+++ b/tests/functional/test_named_limits.py
@@ -1,18 +1,15 @@
-"""Upstreams that name how many requests a second they take from all hosts.
-
-What users saw: upstreams that had named 3.6 and 4.7 requests a second got 52
-and 63 requests in 4 s, where 27 and 33 are borne.
-
-The order of events: an upstream in need names a figure in its answers; hosts
-pass the answers on to callers and go on sending as before.
-
-The cause: hosts read of an answer what it says of the request and of the load,
-and did not know the figure. Nor would it have been enough to: it is told to one
-host and binds the sum of all, who share no count of what they send.
-
-The evidence: from six hosts with 120 requests a second for six upstreams, one
-that named 4 got 86 in 4 s where 29 are borne, and 85 when it named 0.5, where 8
-are; when all named 4, they got 80 to 94 each. With the hosts' parts 16 and 2.
+"""Upstreams that limit the requests per second they accept from all hosts.
+
+Guards against hosts that exceed such a limit. Upstreams that had named limits
+of 3.6 and 4.7 requests per second received 52 and 63 requests in 4 s, where 27
+and 33 are permitted. The limit stands in an answer, which one host receives,
+but it applies to the sum over all hosts. Hosts ignored it, and reading it alone
+would not be enough, as they share no count of the requests that they send.
+
+Without limits, six hosts with 120 requests per second for six upstreams sent 86
+requests in 4 s to an upstream that named 4 (29 are permitted), 85 to one that
+named 0.5 (8 are permitted), and 80 to 94 to each if all named 4. If each host
+keeps to its share of the limit, the first two figures are 16 and 2.
 """
 
 import asyncio
@@ -31,14 +28,14 @@
 
 HOSTS = 6
 UPSTREAMS = 6
-# Requests a second of all callers.
-RATE = 120.0
+# Requests per second of all callers together.
+REQUESTS_PER_SECOND = 120.0
 SEAL = 'Wardstair-Server-Seal: s.1\r\n'
-# What an upstream bears of what it names, by the users' rules: half more, and
-# five requests, in any four seconds from four seconds after it first named it.
-WINDOW = 4.0
+# The requirements permit half more than a named limit plus five requests in any
+# 4 s, from 4 s after the upstream first named it.
+WINDOW_SECONDS = 4.0
 OVERSHOOT = 1.5
-SLACK = 5
+TOLERANCE_REQUESTS = 5
 CONTACT_SECONDS = 4.0
 PLAYED_SECONDS = 9.5
 
@@ -48,15 +45,15 @@
     """Upstreams of which some name a limit.
 
     Attributes:
-        limit: What they name; empty for nothing.
-        naming: Names of those that do.
-        came: When requests came, by upstream.
-        named_at: When each named something first.
+        limit: Limit in requests per second; empty for none.
+        naming: Names of the upstreams that name it.
+        arrivals: Arrival times of requests in seconds, by upstream.
+        named_at: Time in seconds at which each first named a limit.
     """
 
     limit: str = ''
     naming: frozenset[str] = frozenset()
-    came: dict[str, list[float]] = field(default_factory=dict)
+    arrivals: dict[str, list[float]] = field(default_factory=dict)
     named_at: dict[str, float] = field(default_factory=dict)
 
     async def serve(
@@ -66,7 +63,7 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         now = time.monotonic()
-        self.came.setdefault(upstream.name, []).append(now)
+        self.arrivals.setdefault(upstream.name, []).append(now)
         extra = SEAL
         if self.limit and upstream.name in self.naming:
             self.named_at.setdefault(upstream.name, now)
@@ -74,18 +71,18 @@
         writer.write(whole_answer(seen.request_id, extra=extra))
         await writer.drain()
 
-    def most(self, name: str) -> int:
-        """Return the most that an upstream got in a window."""
+    def peak(self, name: str) -> int:
+        """Return the most requests that an upstream received in a window."""
         begin = self.named_at[name] + CONTACT_SECONDS
-        times = [at for at in self.came[name] if at >= begin]
+        times = [at for at in self.arrivals[name] if at >= begin]
         return max(
-            (sum(first <= at < first + WINDOW for at in times))
+            (sum(first <= at < first + WINDOW_SECONDS for at in times))
             for first in [*times, begin]
         )
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a timeout."""
 
     async def main() -> None:
         async with asyncio.timeout(60):
@@ -102,7 +99,7 @@
 
 
 async def play(fleet: Fleet, seconds: float = PLAYED_SECONDS) -> Load:
-    load = Load(RATE)
+    load = Load(REQUESTS_PER_SECOND)
     await load.play(fleet.hosts, seconds)
     return load
 
@@ -111,11 +108,11 @@
     ('limit', 'naming'),
     [
         pytest.param('4', 1, id='one upstream'),
-        pytest.param('0.5', 1, id='one that takes hardly any'),
+        pytest.param('0.5', 1, id='one with a low limit'),
         pytest.param('4', UPSTREAMS, id='all upstreams'),
     ],
 )
-def test_an_upstream_gets_what_it_names_from_all_hosts(
+def test_all_hosts_together_keep_to_a_named_limit(
     limit: str,
     naming: int,
 ) -> None:
@@ -124,16 +121,18 @@
         scene = Scene(limit, names)
         async with running_fleet(HOSTS, upstreams_of(scene)) as fleet:
             await play(fleet)
-            borne = int(float(limit) * WINDOW * OVERSHOOT + SLACK)
-            most = {name: scene.most(name) for name in scene.named_at}
-            assert most
-            assert all(got <= borne for got in most.values()), most
+            permitted = int(
+                float(limit) * WINDOW_SECONDS * OVERSHOOT + TOLERANCE_REQUESTS
+            )
+            peaks = {name: scene.peak(name) for name in scene.named_at}
+            assert peaks
+            assert all(peak <= permitted for peak in peaks.values()), peaks
 
     run(test)
 
 
 def knows(fleet: Fleet, name: str, rate: float | None) -> bool:
-    """Return whether all hosts know what an upstream named."""
+    """Return whether all hosts know the limit of an upstream."""
     return all(
         (row := host.local_state.limits.rows.get(name)) is not None
         and row.rate == rate
@@ -146,7 +145,7 @@
     is_true: Callable[[], bool],
     host: int = 0,
 ) -> None:
-    """Send requests to one host until something is true."""
+    """Send requests to one host until a condition holds."""
     caller = await Caller.connect_to(fleet.hosts[host].settings.callers)
     random = Random(host)
     async with asyncio.timeout(30):
@@ -157,8 +156,8 @@
     caller.close()
 
 
-def test_what_one_host_was_told_all_hosts_know() -> None:
-    """Also that it names another figure, and then none, and a life's end."""
+def test_all_hosts_learn_a_limit_that_one_host_received() -> None:
+    """They also learn a changed limit, its removal and a restart."""
 
     async def test() -> None:
         scene = Scene('2', frozenset(('i-0',)))
@@ -169,7 +168,7 @@
             await ask_until(fleet, lambda: knows(fleet, 'i-0', 3.5))
             scene.limit = ''
             await ask_until(fleet, lambda: knows(fleet, 'i-0', None))
-            # Named again, by an upstream that then starts anew.
+            # The limit is named again, then the upstream restarts.
             scene.limit = '2'
             await ask_until(fleet, lambda: knows(fleet, 'i-0', 2.0))
             entry = upstream_spec(fleet.upstreams[0].port, zone='north-a')
@@ -191,8 +190,8 @@
     run(test)
 
 
-def test_a_limit_that_ends_while_nobody_sends_is_found_to_have_ended() -> None:
-    """Only hosts of one zone have callers, and none of the upstream's own."""
+def test_the_end_of_a_limit_is_noticed_without_callers_in_the_zone() -> None:
+    """Only one host has callers, and it is in a different zone."""
 
     async def test() -> None:
         scene = Scene('1', frozenset(('i-0',)))
@@ -200,14 +199,14 @@
             await ask_until(fleet, lambda: 'i-0' in scene.named_at)
             await until(lambda: knows(fleet, 'i-0', 1.0))
             scene.limit = ''
-            # Of zone south-a; the upstream is in north-a.
+            # The upstream is in north-a.
             assert fleet.hosts[2].settings.zone == 'south-a'
             await ask_until(fleet, lambda: knows(fleet, 'i-0', None), host=2)
 
     run(test)
 
 
-def test_what_all_upstreams_refuse_is_refused_at_once() -> None:
+def test_requests_above_all_limits_are_refused_at_once() -> None:
     async def test() -> None:
         names = frozenset(f'i-{number}' for number in range(UPSTREAMS))
         scene = Scene('0.5', names)
--- a/tests/functional/test_organisations.py
+++ b/tests/functional/test_organisations.py
@@ -41,7 +41,7 @@
 
 
 async def adopt(rig: Rig, version: int, *api_keys: str) -> None:
-    """Put a version in force."""
+    """Write a version and wait until the gateway has adopted it."""
     rig.store.put('config', 'main', configuration(version, *api_keys))
     local_state = rig.gateway.local_state
     await rig.until(lambda: local_state.versions.configuration == version)
@@ -61,7 +61,7 @@
 
 def test_upstreams_receive_the_organisation_but_not_the_key() -> None:
     full = UpstreamStandin('i-full', answer_full)
-    sound = UpstreamStandin('i-ok', answer_ok)
+    accepting = UpstreamStandin('i-ok', answer_ok)
 
     async def test(rig: Rig) -> None:
         for number in range(20):
@@ -72,15 +72,15 @@
                 Wardstair_Credential=KEY,
                 Wardstair_Tenant='band',
             )
-        seen = full.seen + sound.seen
-        # Some requests were sent twice.
+        seen = full.seen + accepting.seen
+        # Requests that the full upstream rejected were sent twice.
         assert len(seen) > len({one.request_id for one in seen}) == 20
         for one in seen:
             assert one.header('Wardstair-Tenant') == 'choir'
             assert one.header('Wardstair-Credential') is None
             assert KEY not in one.head
 
-    run(test, full, sound)
+    run(test, full, accepting)
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
         ('/open/x', {}, 200, None),
         ('/open/x', {'Wardstair_Tenant': 'choir'}, 200, None),
         ('/open/x', {'Wardstair_Credential': KEY}, 200, 'choir'),
-        # No region is allowed by both the route and the organisation.
+        # No region is permitted by both the route and the organisation.
         ('/north/x', {'Wardstair_Credential': SOUTH_KEY}, 503, None),
         ('/nowhere/x', {}, 404, None),
     ],
--- a/tests/functional/test_policies.py
+++ b/tests/functional/test_policies.py
@@ -1,4 +1,4 @@
-"""Whatever the policy, slots hold and requests are answered."""
+"""Policies replaced under load: slot limits hold, requests are answered."""
 
 import asyncio
 
@@ -14,15 +14,16 @@
 ZONES = ('west-a', 'west-b')
 
 
-# A host waits 2 s for a slot and 1 s for a connection. When this process itself
-# does not run for that long, all that wait are refused, truthfully, and come
-# again; stopped for 2.2 s it showed 42 and 19. A fault would refuse them again.
-MOST_TRIES = 4
+# A host waits 2 s for a slot and 1 s for a connection. If this process itself
+# is suspended for that long, all waiting requests are correctly refused and
+# sent again (42 and 19 of them when it was suspended for 2.2 s). A fault would
+# refuse them again.
+MAX_TRIES = 4
 
 
 async def ask(trial: Trial, host: str, number: int) -> HTTPResponse:
-    """Send a request, again if it has provably not run."""
-    for _ in range(MOST_TRIES):
+    """Send a request, and resend it while it has provably not run."""
+    for _ in range(MAX_TRIES):
         answer = await trial.send(host, 'GET', f'/parts/{number}')
         if answer.code == 200 or answer.headers.get('Not-Run') != 'true':
             break
@@ -39,7 +40,7 @@
         PolicyModel(workload='views', kind='headroom-first'),
     ],
 )
-def test_a_policy_swapped_under_load_breaks_nothing(
+def test_requests_are_answered_while_a_policy_is_replaced_under_load(
     policy: PolicyModel,
 ) -> None:
     async def test(trial: Trial) -> None:
@@ -57,8 +58,8 @@
         more = asyncio.gather(
             *(ask(trial, 'west-a-2', number) for number in range(60, 90))
         )
-        found = [*await answers, *await more]
-        for number, answer in enumerate(found):
+        received = [*await answers, *await more]
+        for number, answer in enumerate(received):
             assert answer.code == 200, answer.body
             assert f'"/parts/{number}"'.encode() in answer.body
         for state in states:
--- a/tests/functional/test_refused_connections.py
+++ b/tests/functional/test_refused_connections.py
@@ -1,9 +1,9 @@
-"""What a refused connection says of an upstream, and of who listens next.
+"""Refused connections as evidence that an upstream has exited.
 
-An upstream that starts again under its name is cold. Until hosts have read its
-new entry they take it for the life before, and would send at full rate: 21
-requests in a second came to one that bears 8, from hosts that had only been
-refused.
+An upstream that restarts under its name is cold. Until hosts have read its new
+entry, they take it for the previous incarnation. If a refused connection did
+not count as its exit, hosts would send at full rate: an upstream that can take
+8 requests in a second received 21 from hosts that had only been refused.
 """
 
 import asyncio
@@ -29,18 +29,18 @@
 
 
 @pytest.mark.parametrize('keeps_connection', [False, True])
-def test_refused_without_an_open_connection_counts_as_ended(
+def test_a_refusal_without_open_connections_counts_as_an_exit(
     keeps_connection: bool,
 ) -> None:
-    one = UpstreamStandin('i-1')
+    upstream = UpstreamStandin('i-1')
 
     async def test(rig: Rig) -> None:
-        # A request that may run once does not use a connection of another.
+        # Once-only requests do not reuse the connection of another request.
         assert (await rig.ask()).status == 200
         if keeps_connection:
-            one.refuse()
+            upstream.refuse()
         else:
-            await one.stop()
+            await upstream.stop()
         known = rig.gateway.local_state.catalog.upstreams['i-1']
         pool = rig.gateway.pool
         if not keeps_connection:
@@ -50,11 +50,11 @@
         if keeps_connection:
             return
         assert (await rig.ask(request_id='r2')).status == 503
-        # Whoever listens there next gets what a cold one bears, until its own
-        # entry says more.
+        # The next process at this address is assumed cold until its own entry
+        # is read.
         assert known.is_cold(time.monotonic())
-        await one.start()
-        entry = {**upstream_spec(one.port), 'born': 5}
+        await upstream.start()
+        entry = {**upstream_spec(upstream.port), 'born': 5}
         rig.store.put('servers', 'i-1', entry)
         catalog = rig.gateway.local_state.catalog
         await rig.until(lambda: catalog.upstreams['i-1'].entry.born == 5)
@@ -63,11 +63,11 @@
         assert (await caller.ask(request_id='r3')).status == 200
         caller.close()
 
-    run(test, one)
+    run(test, upstream)
 
 
-def test_without_cold_starts_a_refused_connection_costs_no_more() -> None:
-    one = UpstreamStandin('i-1')
+def test_a_refusal_does_not_make_upstreams_without_cold_starts_cold() -> None:
+    upstream = UpstreamStandin('i-1')
 
     async def test(rig: Rig) -> None:
         spec = configuration_spec(2)
@@ -77,13 +77,13 @@
         rig.store.put('config', 'main', spec)
         local_state = rig.gateway.local_state
         await rig.until(lambda: local_state.versions.configuration == 2)
-        await one.stop()
+        await upstream.stop()
         assert (await rig.ask()).status == 503
         known = local_state.catalog.upstreams['i-1']
-        # A cold upstream would get nothing at all there.
+        # A cold upstream of this service would get no requests at all.
         assert not known.is_cold(time.monotonic())
         local_state.suspects.note_ended((f'{1:016x}',), known.incarnation)
         assert known.is_avoided(time.monotonic())
         assert not known.is_cold(time.monotonic())
 
-    run(test, one)
+    run(test, upstream)
--- a/tests/functional/test_registration_after_restore.py
+++ b/tests/functional/test_registration_after_restore.py
@@ -1,8 +1,9 @@
-"""Objects of hosts in a store that was restored and issues numbers again.
+"""Removal of host objects from a store that reuses revisions after a restore.
 
-A relay removes the object of a host that is gone on condition of its revision.
-Issued again, that number is of the object by which a living host registered
-anew, and the condition held by chance.
+A relay removes the object of a lost host on condition that its revision is
+unchanged. After a restore the same revision can belong to the object with which
+a live host has registered again. The condition then holds by coincidence, and
+the new object would be removed.
 """
 
 import asyncio
@@ -30,21 +31,21 @@
 
 @dataclass
 class SilentMembers(Members):
-    """Another host is silent once; the store may be restored just then."""
+    """Reports a host as lost once; the store may be restored at that moment."""
 
-    on_look: Callable[[], None] = field(default=lambda: None)
-    looks: int = 0
+    on_check: Callable[[], None] = field(default=lambda: None)
+    checks: int = 0
 
     def forgotten(self) -> list[str]:
-        self.looks += 1
-        if self.looks > 1:
+        self.checks += 1
+        if self.checks > 1:
             return []
-        self.on_look()
+        self.on_check()
         return [OTHER.name]
 
 
 def register(standin: StoreStandin, size: int) -> None:
-    """Write the other host's object."""
+    """Write the object of the other host."""
     spec = encode_host(RegisteredHost(OTHER, size))['spec']
     standin.put(HOST_KIND, OTHER.name, spec)
 
@@ -79,9 +80,9 @@
                 is_first_start=True,
             ).run(),
         )
-        await until(lambda: members.looks == 3)
-        is_there = OTHER.name in standin.kind(HOST_KIND).objects
-        assert is_there is is_restored
+        await until(lambda: members.checks == 3)
+        is_registered = OTHER.name in standin.kind(HOST_KIND).objects
+        assert is_registered is is_restored
         task.cancel()
         store.close()
         await standin.stop()
@@ -90,5 +91,5 @@
     copy = standin.copy()
     register(standin, 1)
     if is_restored:
-        members.on_look = restore
+        members.on_check = restore
     asyncio.run(main())
--- a/tests/functional/test_replaced_sentinels.py
+++ b/tests/functional/test_replaced_sentinels.py
@@ -1,4 +1,4 @@
-"""Hosts that watch the store for others from now on."""
+"""Hosts that take over as sentinels, which watch the store for their peers."""
 
 import asyncio
 
@@ -7,25 +7,27 @@
 from lib.virtual_time import run_virtual
 
 
-async def _asked_after_replacement() -> int:
+async def _refreshes_after_replacement() -> int:
     with without_clients():
         play = NewsPlay(layout_of(3, 2, 2), BOUNDS, 4, seed=1)
         await play.start_all()
         await asyncio.sleep(12.0)
         for name in play.sentinels:
             await play.kill(name)
-        # Others have replaced them, and all know each other's roles.
+        # Until other hosts have replaced them and all know the new roles.
         await asyncio.sleep(3.0)
-        before = _asked(play)
+        before = _refreshes(play)
         await asyncio.sleep(10.0)
-        asked = _asked(play) - before
+        refreshes = _refreshes(play) - before
         await play.close()
-    return asked
+    return refreshes
 
 
-def _asked(play: NewsPlay) -> int:
+def _refreshes(play: NewsPlay) -> int:
     return sum(host.refresher.asked for host in play.hosts)
 
 
-def test_no_state_grows_old_after_sentinels_were_replaced() -> None:
-    assert not run_virtual(_asked_after_replacement)
+def test_no_host_needs_to_refresh_its_state_after_sentinels_were_replaced() -> (
+    None
+):
+    assert not run_virtual(_refreshes_after_replacement)
--- a/tests/functional/test_request_ends_upstreams.py
+++ b/tests/functional/test_request_ends_upstreams.py
@@ -1,21 +1,17 @@
-"""A request that ends each upstream that runs it, sent again and again.
-
-What users saw: three times in a day 32 to 39 upstreams of a service ended
-within 16 s, and for four to six seconds each time fewer than 15 of some 290
-requests a second were answered in time. One request had ended 33 and 36 of
-them; its tries had new ids and came to different hosts.
-
-The order of events: an upstream ends while it runs the request; the host sends
-the request on to the next, which ends; the caller gets "may have run" and tries
-again elsewhere, where nothing is known of it. The places of the ended ones are
-taken after some two seconds.
-
-The cause: hosts judged upstreams by what became of requests, and no request by
-what became of upstreams.
-
-The evidence: one try of the request is seen to end two upstreams 0.11 s apart;
-the code kept nothing of a request beyond its try, and this test ended 9 to 12
-upstreams until it did.
+"""A request that ends every upstream that runs it, and that is sent repeatedly.
+
+Guards against one request that ends most upstreams of a service. An upstream
+exits while it runs the request, and the host resends the request to the next
+upstream, which exits as well. The caller is told that the request may have run
+and tries again with a new id at another host, which knows nothing of it. The
+upstreams are replaced after about 2 s.
+
+Three times in a day, 32 to 39 upstreams of a service exited within 16 s, 33 and
+36 of them because of one request. Each time fewer than 15 of about 290 requests
+per second were answered in time for 4 to 6 s. Hosts judged upstreams by the
+outcome of requests, but no request by the exits of upstreams. One try ends two
+upstreams 0.11 s apart; without a record of requests that outlasts a try, this
+test ends 9 to 12 upstreams.
 """
 
 import asyncio
@@ -43,14 +39,14 @@
 ZONES = ('north-a', 'north-b', 'south-a')
 UPSTREAMS = 18
 HARMFUL = '/read/harmful'
-# What may end: three until it is known for what it is, and three more that are
-# under way meanwhile.
-MOST_ENDED = 6
-# Tries, and the seconds between them, as of a caller that does not give up.
+# Three upstreams exit before the request is recognised, and three more may be
+# running it by then.
+MAX_ENDED = 6
+# Number of tries of a persistent caller, and the seconds between them.
 TRIES = 12
-TRY_SECONDS = 0.3
-# How long an upstream that starts again is away.
-AWAY_SECONDS = 0.2
+TRY_INTERVAL_SECONDS = 0.3
+# Time between the exit and the restart of an upstream.
+RESTART_DELAY_SECONDS = 0.2
 
 
 @dataclass
@@ -58,14 +54,14 @@
     """A fleet with upstreams that a request can end.
 
     Attributes:
-        is_cut: Whether hosts hear each other only through the store.
-        is_reborn: Whether an upstream starts again under its name.
-        is_failing: Whether each third upstream only fails the request.
-        ended: Names of the upstreams that ended, in order.
+        is_cut: Whether hosts exchange state only through the store.
+        is_restarting: Whether upstreams restart under their names.
+        is_failing: Whether every third upstream only fails the request.
+        ended: Names of the upstreams that exited, in order.
     """
 
     is_cut: bool = False
-    is_reborn: bool = False
+    is_restarting: bool = False
     is_failing: bool = False
     store: StoreStandin = field(default_factory=StoreStandin)
     hosts: list[GatewayHost] = field(default_factory=list)
@@ -78,7 +74,7 @@
         seen: Seen,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Answer, but end under the harmful request."""
+        """Answer a request, but exit on the harmful one."""
         if HARMFUL not in seen.line:
             await answer_ok(upstream, seen, writer)
             return
@@ -89,19 +85,19 @@
             return
         self.ended.append(upstream.name)
         await upstream.stop()
-        if self.is_reborn:
+        if self.is_restarting:
             asyncio.get_running_loop().call_later(
-                AWAY_SECONDS,
-                lambda: asyncio.ensure_future(self.bear_again(upstream)),
+                RESTART_DELAY_SECONDS,
+                lambda: asyncio.ensure_future(self.restart(upstream)),
             )
 
-    async def bear_again(self, upstream: UpstreamStandin) -> None:
-        """Let an upstream start again under its name."""
+    async def restart(self, upstream: UpstreamStandin) -> None:
+        """Restart an upstream under its name."""
         await upstream.start()
         self.register(upstream)
 
     def register(self, upstream: UpstreamStandin) -> None:
-        """Write an upstream's entry, as the upstream does."""
+        """Write the entry of an upstream, as the upstream does."""
         place = self.upstreams.index(upstream)
         entry = upstream_spec(upstream.port, zone=ZONES[place % len(ZONES)])
         entry['born'] = time.time_ns() // 1_000_000
@@ -139,7 +135,7 @@
         for number in range(start, start + tries):
             host = self.hosts[number % len(self.hosts)]
             statuses.append(await self.try_harmful(host, number))
-            await asyncio.sleep(TRY_SECONDS)
+            await asyncio.sleep(TRY_INTERVAL_SECONDS)
         return statuses
 
 
@@ -148,33 +144,35 @@
     size: int = 4,
     *,
     is_cut: bool = False,
-    is_reborn: bool = False,
+    is_restarting: bool = False,
     is_failing: bool = False,
 ) -> AsyncIterator[Scene]:
     """Run a fleet that knows all its upstreams."""
-    made = Scene(is_cut, is_reborn, is_failing)
-    made.store.start()
-    made.store.put('config', 'main', configuration_spec(1))
+    running = Scene(is_cut, is_restarting, is_failing)
+    running.store.start()
+    running.store.put('config', 'main', configuration_spec(1))
     (port,) = free_ports(1)
     for number in range(UPSTREAMS):
-        upstream = UpstreamStandin(f'i-{number}', made.serve)
-        made.upstreams.append(upstream)
+        upstream = UpstreamStandin(f'i-{number}', running.serve)
+        running.upstreams.append(upstream)
         await upstream.start()
-        made.register(upstream)
+        running.register(upstream)
     for number in range(size):
-        await made.start_host(number, port)
+        await running.start_host(number, port)
     try:
-        await until(lambda: all(map(knows_upstreams, made.hosts)))
+        await until(lambda: all(map(knows_upstreams, running.hosts)))
         if not is_cut:
-            # What is told before hosts have found each other reaches nobody.
-            await until(lambda: all(hears(one, size) for one in made.hosts))
-        yield made
+            # Updates that are sent before hosts know each other reach nobody.
+            await until(
+                lambda: all(knows_peers(one, size) for one in running.hosts)
+            )
+        yield running
     finally:
-        for host in made.hosts:
+        for host in running.hosts:
             await host.close()
-        for upstream in made.upstreams:
+        for upstream in running.upstreams:
             await upstream.stop()
-        await made.store.stop()
+        await running.store.stop()
 
 
 def knows_upstreams(host: GatewayHost) -> bool:
@@ -182,12 +180,12 @@
     return host.is_ready and len(known) == UPSTREAMS
 
 
-def hears(host: GatewayHost, size: int) -> bool:
+def knows_peers(host: GatewayHost, size: int) -> bool:
     return len(host.members.live_names()) == size
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a timeout."""
 
     async def main() -> None:
         async with asyncio.timeout(40):
@@ -199,24 +197,24 @@
 @pytest.mark.parametrize(
     'options',
     [
-        pytest.param({}, id='hosts hear each other'),
+        pytest.param({}, id='hosts exchange state'),
         pytest.param({'is_cut': True}, id='hosts share only the store'),
-        pytest.param({'is_reborn': True}, id='upstreams start again'),
-        pytest.param({'is_failing': True}, id='some upstreams only fail it'),
+        pytest.param({'is_restarting': True}, id='upstreams restart'),
+        pytest.param({'is_failing': True}, id='some upstreams only fail'),
     ],
 )
-def test_it_ends_few_upstreams(options: dict[str, bool]) -> None:
+def test_a_harmful_request_ends_few_upstreams(options: dict[str, bool]) -> None:
     async def test() -> None:
         async with scene(**options) as fleet:
             statuses = await fleet.try_at_each(TRIES)
-            assert len(fleet.ended) <= MOST_ENDED, statuses
-            # From then on it is refused, as not run, which is true.
+            assert len(fleet.ended) <= MAX_ENDED, statuses
+            # From then on it is refused as not run, which is correct.
             assert statuses[-1] == 503, statuses
 
     run(test)
 
 
-def test_it_is_known_to_a_host_that_starts() -> None:
+def test_a_harmful_request_is_known_to_a_host_that_starts() -> None:
     async def test() -> None:
         async with scene(size=3) as fleet:
             await fleet.try_at_each(4)
@@ -231,7 +229,7 @@
     run(test)
 
 
-def test_it_is_known_after_all_hosts_lost_power() -> None:
+def test_a_harmful_request_is_known_after_all_hosts_lost_power() -> None:
     async def test() -> None:
         async with scene(size=2) as fleet:
             await fleet.try_at_each(4)
@@ -256,7 +254,7 @@
     run(test)
 
 
-def test_others_are_served_beside_it_and_an_operator_lifts_it() -> None:
+def test_other_requests_are_served_and_an_operator_lifts_the_refusal() -> None:
     async def test() -> None:
         async with scene(size=2) as fleet:
             await fleet.try_at_each(4)
--- a/tests/functional/test_request_path.py
+++ b/tests/functional/test_request_path.py
@@ -1,4 +1,4 @@
-"""One request end to end, while upstreams shed, stall, die and lie."""
+"""Requests end to end, with upstreams that shed, stall, exit or misbehave."""
 
 import asyncio
 from typing import Any
@@ -15,12 +15,12 @@
 
 
 def behave(trial: Trial, upstream: str, **changes: Any) -> None:
-    """Make an upstream behave in some way."""
+    """Set the behaviour of an upstream."""
     state = trial.deployment.upstreams[upstream].state
     state.behaviour = Behaviour(**changes)
 
 
-def test_a_view_is_forwarded_with_its_own_answer() -> None:
+def test_each_view_receives_its_own_answer() -> None:
     async def test(trial: Trial) -> None:
         answers = await asyncio.gather(
             *(
@@ -73,7 +73,7 @@
         ({'shed': True}, 502, 'upstream-failed', 'true', 0),
     ],
 )
-def test_an_order_that_fails_is_told_the_truth(
+def test_a_failed_order_reports_whether_it_ran(
     behaviour: dict[str, Any],
     status: int,
     kind: str,
@@ -96,7 +96,7 @@
     run_trial(small_document(), test)
 
 
-def test_an_order_to_a_dead_upstream_did_not_run() -> None:
+def test_an_order_to_a_stopped_upstream_is_reported_as_not_run() -> None:
     async def test(trial: Trial) -> None:
         await trial.deployment.upstreams['orders-west-a'].stop()
         answer = await trial.order(HOST, await trial.new_key(HOST))
@@ -105,15 +105,15 @@
     run_trial(small_document(), test)
 
 
-def test_a_replaced_home_makes_the_outcome_unknown() -> None:
+def test_the_outcome_is_unknown_after_the_owner_was_restarted() -> None:
     async def test(trial: Trial) -> None:
         key = await trial.new_key(HOST)
-        home = key.split('~')[0]
-        assert (await trial.order(home, key)).code == 200
+        owner = key.split('~')[0]
+        assert (await trial.order(owner, key)).code == 200
         deployment = trial.deployment
-        await deployment.hosts[home].stop()
+        await deployment.hosts[owner].stop()
         model = next(
-            host for host in deployment.document.hosts if host.name == home
+            host for host in deployment.document.hosts if host.name == owner
         )
         await deployment.start_host(model)
         await deployment.wait_version(1)
@@ -138,7 +138,7 @@
     run_trial(small_document(zones=('west-a', 'west-b')), test)
 
 
-def test_a_stalled_upstream_meets_the_deadline() -> None:
+def test_a_request_to_a_stalled_upstream_ends_at_its_deadline() -> None:
     async def test(trial: Trial) -> None:
         behave(trial, 'views-west-a', stall=True)
         answer = await trial.send(
@@ -154,7 +154,7 @@
     run_trial(small_document(), test)
 
 
-def test_a_cut_answer_is_not_passed_off_as_whole() -> None:
+def test_an_incomplete_answer_closes_the_connection() -> None:
     async def test(trial: Trial) -> None:
         behave(trial, 'views-west-a', reset_after=True)
         with pytest.raises(HTTPStreamClosedError):
@@ -163,8 +163,8 @@
     run_trial(small_document(), test)
 
 
-def test_a_caller_that_leaves_ends_the_work_upstream() -> None:
-    # Uploads have no deadline that could end the work instead.
+def test_a_request_is_cancelled_upstream_when_its_caller_disconnects() -> None:
+    # Uploads have no deadline that could end the request instead.
     async def test(trial: Trial) -> None:
         behave(trial, 'uploads-west-a', stall=True)
         state = trial.deployment.upstreams['uploads-west-a'].state
@@ -185,9 +185,9 @@
     run_trial(small_document(), test)
 
 
-def test_a_caller_is_told_when_the_upstream_makes_no_progress() -> None:
-    # Uploads have no deadline: only idleness ends them, and the caller has
-    # to hear of it.
+def test_an_idle_upstream_ends_the_request_with_an_error() -> None:
+    # Uploads have no deadline: only the idle timeout ends them, and the caller
+    # has to receive an error.
     async def test(trial: Trial) -> None:
         behave(trial, 'uploads-west-a', stall=True)
         answer = await trial.send(HOST, 'PUT', '/uploads/1', body=b'scan')
@@ -217,7 +217,7 @@
         (b'Deadline-Ms: soon\r\n', b'400'),
     ],
 )
-def test_bad_requests_are_refused(lines: bytes, status: bytes) -> None:
+def test_malformed_requests_are_refused(lines: bytes, status: bytes) -> None:
     async def test(trial: Trial) -> None:
         port = trial.deployment.hosts[HOST].ports.callers
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
@@ -239,7 +239,7 @@
         ('GET', '/v1/lookup?workload=none', 404, 'no-route'),
     ],
 )
-def test_refusals_are_typed(
+def test_refusals_state_their_kind(
     method: str,
     path: str,
     status: int,
@@ -253,7 +253,7 @@
     run_trial(small_document(), test)
 
 
-def test_an_upload_in_pieces_survives_a_planned_stop() -> None:
+def test_a_streamed_upload_completes_during_a_planned_stop() -> None:
     async def test(trial: Trial) -> None:
         host = trial.deployment.hosts[HOST]
         state = trial.deployment.upstreams['uploads-west-a'].state
--- a/tests/functional/test_silence.py
+++ b/tests/functional/test_silence.py
@@ -1,4 +1,4 @@
-"""Connections that would go silent for good are set up to end by themselves."""
+"""Socket options that end connections on which the other side is silent."""
 
 import asyncio
 import socket
@@ -16,7 +16,7 @@
     notice_silence_of,
 )
 
-WANTED = {
+EXPECTED_OPTIONS = {
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT): UNACKNOWLEDGED_SECONDS
     * 1000,
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE): 1,
@@ -24,14 +24,14 @@
 }
 
 
-def options(connected: Any) -> dict[tuple[int, int], float]:
-    """Return how a socket is set up."""
-    return {name: connected.getsockopt(*name) for name in WANTED}
+def options(checked: Any) -> dict[tuple[int, int], float]:
+    """Return the options of a socket."""
+    return {name: checked.getsockopt(*name) for name in EXPECTED_OPTIONS}
 
 
 @contextmanager
 def curl_sockets(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[int]]:
-    """Collect the descriptors that the store's client sets up."""
+    """Collect the descriptors that the store client configures."""
     seen: list[int] = []
 
     def note(descriptor: int) -> None:
@@ -42,23 +42,23 @@
     yield seen
 
 
-def test_connections_to_upstreams_notice_silence() -> None:
-    one = UpstreamStandin('i-1')
+def test_connections_to_upstreams_detect_silence() -> None:
+    upstream = UpstreamStandin('i-1')
 
     async def main() -> None:
-        async with Rig(one) as rig, asyncio.timeout(25):
+        async with Rig(upstream) as rig, asyncio.timeout(25):
             await rig.ask()
             connection = rig.gateway.pool.borrow('i-1', is_once=False)
             assert connection is not None
             assert connection._transport is not None
-            connected = connection._transport.get_extra_info('socket')
-            assert options(connected) == WANTED
+            connection_socket = connection._transport.get_extra_info('socket')
+            assert options(connection_socket) == EXPECTED_OPTIONS
             connection.close()
 
     asyncio.run(main())
 
 
-def test_connections_to_the_store_notice_silence(
+def test_connections_to_the_store_detect_silence(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def main() -> None:
@@ -66,7 +66,7 @@
             for descriptor in seen[-2:]:
                 borrowed = socket.socket(fileno=descriptor)
                 try:
-                    assert options(borrowed) == WANTED
+                    assert options(borrowed) == EXPECTED_OPTIONS
                 finally:
                     borrowed.detach()
 
@@ -75,7 +75,7 @@
     assert seen
 
 
-def test_a_borrowed_descriptor_stays_open() -> None:
+def test_setting_options_leaves_the_descriptor_open() -> None:
     with socket.socket() as own:
         notice_silence_of(own.fileno())
-        assert options(own) == WANTED
+        assert options(own) == EXPECTED_OPTIONS
