--- a/tests/functional/test_soak.py
+++ b/tests/functional/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak of real processes, and breaks that it has to find."""
+"""A short seeded soak of real processes, and faults in hosts it must detect."""
 
 import asyncio
 import time
@@ -34,7 +34,7 @@
 from soak.weights import Scale
 
 BROKEN = 'soak.broken'
-END_SECONDS = 20.0
+EXIT_TIMEOUT_SECONDS = 20.0
 SEED = 20261202
 HERD_SEED = 2
 SHORT = Plan(
@@ -50,19 +50,19 @@
     with_notices=False,
     with_restores=False,
 )
-# No faults, only the changes of the configuration that end each play.
+# No faults, only the configuration changes at the end of each run.
 QUIET = replace(SHORT, seconds=0)
 # Hosts lose power while upstreams start cold.
 POWER = replace(SHORT, only_power=True, gap=2)
-# A request ends upstreams for eight seconds.
+# A harmful request ends upstreams for 8 s.
 HARM = replace(SHORT, only_harm=True, seconds=0.1, gap=9, upstreams=16)
-# Upstreams name limits, one after the other and at once.
+# Upstreams name limits, both in turn and at the same time.
 LIMITS = replace(SHORT, only_limits=True, seconds=6, gap=3, callers=8)
-# Two do so at once: one that hardly any request is for, and one of the others.
+# Two upstreams name limits at once: one with hardly any requests, and another.
 LIMITS_ALONE = replace(LIMITS, seconds=0.1)
-# Upstreams leave, or ask for pauses, in their answers.
+# Upstreams announce in their answers that they leave, or ask for pauses.
 NOTICES = replace(SHORT, only_notices=True, seconds=6, gap=1.5)
-# The store comes back from a copy, once or twice in a row.
+# The store is restored from a copy, once or twice in a row.
 RESTORES = replace(
     SHORT,
     with_restores=True,
@@ -76,7 +76,7 @@
     SILENCE,
     *(replace(CUTS, cut_way=way) for way in CutWay),
     replace(SHORT, with_herds=False),
-    # Kills all hosts twice; those greeted first start last.
+    # Kills all hosts twice; the seed hosts of the others start last.
     replace(SHORT, seed=HERD_SEED),
     POWER,
     HARM,
@@ -97,7 +97,7 @@
         for one in FAILED_SEEDS
     ),
 ]
-# Many lost answers, so that a busy machine with few requests has some.
+# Many answers are lost, so that few requests on a busy machine include some.
 LOSING = replace(SHORT, module=BROKEN, lost_share=0.25, with_herds=False)
 
 
@@ -128,8 +128,8 @@
     [
         ('lie', LOSING, 'told that it has not run'),
         ('revert', LOSING, 'went back'),
-        # Enough hosts and callers for what the upstreams bear three times, and
-        # cold for long enough that hosts which start slowly are up by then.
+        # Enough hosts and callers to send three times what the upstreams can
+        # take, and cold for long enough that slow hosts have started by then.
         (
             'alone',
             replace(POWER, hosts=6, callers=12, cold_seconds=20),
@@ -199,7 +199,7 @@
 @pytest.mark.parametrize(
     ('sent', 'came', 'is_broken'),
     [
-        # At once; over two seconds; sent before and held up on the way.
+        # At once; over two seconds; sent earlier and delayed on the path.
         ([0.0] * MOST_COLD, [0.1] * MOST_COLD, False),
         ([0.0] * (MOST_COLD + 1), [0.1] * (MOST_COLD + 1), True),
         ([0.0] * MOST_COLD + [1.0], [0.1] * MOST_COLD + [1.1], False),
@@ -260,10 +260,10 @@
 ) -> None:
     async def test() -> None:
         (place,) = choose_places({'a1': 'a'}, 1, [1], tmp_path)
-        # Nothing in it handles signals, as in an interpreter that starts.
+        # It handles no signals, like an interpreter that is starting.
         gateway = GatewayProcess(place, 'soak.unready')
-        # It ends at once; this only ends a test that has failed.
-        gateway.hung_up_seconds = END_SECONDS
+        # It exits at once; this timeout ends only a failing test.
+        gateway.hung_up_seconds = EXIT_TIMEOUT_SECONDS
         await gateway.start()
         place.log.write_text(log, encoding='utf-8')
         await gateway.hang_up()
@@ -288,7 +288,7 @@
 
 def test_a_busy_machine_begins_as_many_faults() -> None:
     async def hold_up(_scene: Scene) -> None:
-        # As long as faults begin, while nothing else in the process runs.
+        # Blocks the event loop for as long as faults are started.
         loop = asyncio.get_running_loop()
         loop.call_soon(time.sleep, LIMITS_ALONE.seconds)
 
@@ -304,14 +304,14 @@
 
 def test_the_ledger_tells_how_near_named_limits_were() -> None:
     naming = Naming('i-1', 2.0, begin=0.0, came=[3.0] * 4 + [5.0] * 18)
-    told = Ledger(named=[naming]).tell_limits()
-    assert told == ['i-1 named 2.0: 18 of 22 in 4.0 s where 17.0 are borne']
+    lines = Ledger(named=[naming]).tell_limits()
+    assert lines == ['i-1 named 2.0: 18 of 22 in 4.0 s where 17.0 are borne']
 
 
 @pytest.mark.parametrize(
     ('came', 'fault', 'is_broken'),
     [
-        # 3 s after it named 2 a second: hosts may not know yet.
+        # 3 s after it named 2 requests per second: hosts may not know it yet.
         pytest.param([3.0] * 18, None, False, id='too soon'),
         pytest.param([5.0] * 17, None, False, id='what it bears'),
         pytest.param([5.0] * 18, None, True, id='one more'),
@@ -336,7 +336,7 @@
 
 
 def tries_at(*sent_at: float) -> list[Arrival]:
-    """Return requests to one gateway that come at once to an upstream."""
+    """Return requests to one gateway that reach an upstream without delay."""
     return [
         Arrival(Try(f'r{number}', Kind.safe, 'host/1', at), at)
         for number, at in enumerate(sent_at)
--- a/tests/functional/test_store.py
+++ b/tests/functional/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store against the stand-in."""
+"""The store client of the platform against a stand-in for the store."""
 
 import asyncio
 from random import Random
@@ -15,10 +15,10 @@
 from wardstair.state.watching import KindWatcher, WatchPlan, WatchSinks
 
 
-def test_dropped_watches_do_not_hold_up_other_calls(
+def test_dropped_watches_do_not_delay_other_calls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Drop watches as often as a day with many changes does in half a minute.
+    # Watches are dropped as often as within half a minute of a busy day.
     monkeypatch.setattr(watching, 'MIN_WATCH_AGE_SECONDS', 0.0)
 
     async def main() -> None:
@@ -26,14 +26,14 @@
         standin.start()
         store = Store(f'{ADDRESS}:{standin.port}')
         contact = StoreContact(lambda: 0.0, Random(1))
-        heard: list[str] = []
+        changed_names: list[str] = []
         watcher = KindWatcher(
             store,
             contact,
             WatchPlan('servers'),
             WatchSinks(
                 lambda listing: None,
-                lambda changes: heard.extend(
+                lambda changes: changed_names.extend(
                     change.stored.metadata.name for change in changes.changes
                 ),
                 lambda revision: None,
@@ -46,7 +46,7 @@
             watcher.drop_watch()
         await until(lambda: len(standin.calls) > 41)
         standin.put('servers', 'i-1', {})
-        await until(lambda: heard == ['i-1'])
+        await until(lambda: changed_names == ['i-1'])
         assert isinstance(await store.list_kind('servers'), Ok)
         task.cancel()
         store.close()
--- a/tests/functional/test_store_restored.py
+++ b/tests/functional/test_store_restored.py
@@ -1,16 +1,14 @@
-"""The store comes back from a copy some seconds old.
+"""A store that is restored from a copy that is some seconds old.
 
-What users would see: an evacuation, a new upstream or the end of one, written
-after the store's return, is not in force at some hosts, for as long as the
-store's revisions stay below those of before. A configuration is.
+Guards against hosts that ignore what is written after the restore. The store is
+unavailable for a moment and returns from a copy. Later writes are lost, and
+their revisions are issued again. The operator and the upstreams repeat their
+writes, and then something new is written.
 
-The order of events: the store is away for a moment and comes back from a copy;
-what was written since is gone, and its revisions are given out again. The
-operator and the upstreams write again what they had written, then something new
-is written.
-
-The cause: hosts take the higher revision for the newer, whichever life of the
-store gave it out. What the store says of its lives (`Store-Era`) nobody reads.
+If hosts compare revisions without the era of the store (`Store-Era`), a new
+evacuation, a new upstream or the removal of one is not in force at some hosts
+until the revisions exceed those from before the restore. Configurations are not
+affected.
 """
 
 import asyncio
@@ -24,15 +22,15 @@
 
 HOSTS = 3
 UPSTREAMS = 3
-AWAY_SECONDS = 0.5
-# Times that upstreams write what the copy lacks: more than is written again.
+OUTAGE_SECONDS = 0.5
+# Lost writes of each upstream: more than it repeats after the restore.
 LOST_WRITES = 5
-# Only ends a test that has failed; news are in force within about a second.
-LONGEST_SECONDS = 8.0
+# Ends only a failing test; updates are in force within about a second.
+TIMEOUT_SECONDS = 8.0
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a timeout."""
 
     async def main() -> None:
         async with asyncio.timeout(60):
@@ -41,11 +39,11 @@
     asyncio.run(main())
 
 
-async def come_true(fleet: Fleet, is_true: Callable[[Fleet], bool]) -> bool:
-    """Return whether something comes true."""
+async def becomes_true(fleet: Fleet, is_true: Callable[[Fleet], bool]) -> bool:
+    """Return whether a condition becomes true in time."""
     try:
-        async with asyncio.timeout(LONGEST_SECONDS):
-            # Conditions of many parts; none has an event of its own.
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            # The conditions combine several values without events.
             while not is_true(fleet):  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
     except TimeoutError:
@@ -54,45 +52,47 @@
 
 
 def write_upstreams(fleet: Fleet) -> None:
-    """Write what the upstreams write of themselves."""
+    """Write the entries of all upstreams, as the upstreams do."""
     for number, upstream in enumerate(fleet.upstreams):
         entry = upstream_spec(upstream.port, zone=ZONES[number % len(ZONES)])
         fleet.store.put('servers', upstream.name, entry)
 
 
-async def lose(fleet: Fleet, copy: StoreCopy) -> None:
-    """Let the store be away and come back; all write again what they had."""
+async def restore_copy(fleet: Fleet, copy: StoreCopy) -> None:
+    """Restore the store after an outage; all writers repeat their writes."""
     fleet.store.status = 503
-    await asyncio.sleep(AWAY_SECONDS)
+    await asyncio.sleep(OUTAGE_SECONDS)
     fleet.store.restore(copy)
     fleet.store.put('config', 'main', configuration_spec(2))
     write_upstreams(fleet)
 
 
-async def change_and_lose(fleet: Fleet) -> None:
-    """Let hosts see changes that the store then loses."""
+async def change_and_restore(fleet: Fleet) -> None:
+    """Have hosts learn changes that the store then loses."""
     copy = fleet.store.copy()
     fleet.store.put('config', 'main', configuration_spec(2))
     for _ in range(LOST_WRITES):
         write_upstreams(fleet)
-    # An evacuation that is ended again; all hosts follow both.
+    # All hosts learn of an evacuation and of its end.
     fleet.store.put('evacuations', ZONES[0], {})
-    assert await come_true(fleet, lambda it: all(evacuated(it, ZONES[0])))
+    assert await becomes_true(fleet, lambda it: all(evacuated(it, ZONES[0])))
     fleet.store.delete('evacuations', ZONES[0])
-    assert await come_true(fleet, lambda it: not any(evacuated(it, ZONES[0])))
-    assert all(has_version(host_version(fleet), 2))
-    await lose(fleet, copy)
+    assert await becomes_true(
+        fleet, lambda it: not any(evacuated(it, ZONES[0]))
+    )
+    assert all(have_version(host_versions(fleet), 2))
+    await restore_copy(fleet, copy)
 
 
 def evacuated(fleet: Fleet, zone: str) -> list[bool]:
     return [zone in host.local_state.evacuated for host in fleet.hosts]
 
 
-def host_version(fleet: Fleet) -> list[int]:
+def host_versions(fleet: Fleet) -> list[int]:
     return [host.local_state.versions.configuration for host in fleet.hosts]
 
 
-def has_version(versions: list[int], version: int) -> list[bool]:
+def have_version(versions: list[int], version: int) -> list[bool]:
     return [one >= version for one in versions]
 
 
@@ -100,12 +100,12 @@
     return [UpstreamStandin(f'i-{number}') for number in range(UPSTREAMS)]
 
 
-def test_an_evacuation_that_is_written_after_it_is_in_force() -> None:
+def test_an_evacuation_written_after_a_restore_is_in_force() -> None:
     async def test() -> None:
         async with running_fleet(HOSTS, upstreams()) as fleet:
-            await change_and_lose(fleet)
+            await change_and_restore(fleet)
             fleet.store.put('evacuations', ZONES[1], {})
-            assert await come_true(
+            assert await becomes_true(
                 fleet,
                 lambda it: all(evacuated(it, ZONES[1])),
             )
@@ -138,7 +138,7 @@
     [
         pytest.param(
             write_configuration,
-            lambda fleet: all(has_version(host_version(fleet), 3)),
+            lambda fleet: all(have_version(host_versions(fleet), 3)),
             id='configuration',
         ),
         pytest.param(
@@ -149,25 +149,25 @@
         pytest.param(
             remove_upstream,
             lambda fleet: all('i-0' not in names for names in names_at(fleet)),
-            id='upstream gone',
+            id='removed upstream',
         ),
     ],
 )
-def test_what_is_written_after_it_is_in_force(
+def test_changes_written_after_a_restore_are_in_force(
     write: Callable[[Fleet], None],
     is_in_force: Callable[[Fleet], bool],
 ) -> None:
     async def test() -> None:
         async with running_fleet(HOSTS, upstreams()) as fleet:
-            await change_and_lose(fleet)
-            # What was written again is known before.
-            assert await come_true(
+            await change_and_restore(fleet)
+            # Hosts first learn the repeated writes.
+            assert await becomes_true(
                 fleet,
                 lambda it: all(
                     len(names) == UPSTREAMS for names in names_at(it)
                 ),
             )
             write(fleet)
-            assert await come_true(fleet, is_in_force)
+            assert await becomes_true(fleet, is_in_force)
 
     run(test)
--- a/tests/functional/test_stuck_fetch.py
+++ b/tests/functional/test_stuck_fetch.py
@@ -1,4 +1,4 @@
-"""Hosts that never answer the question of another for what it lacks."""
+"""Hosts that never answer the state queries of a peer."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -15,24 +15,25 @@
 from wardstair.fleet.beats import Versions
 from wardstair.gateway.host import GatewayHost
 
-AFTER_SECONDS = 5.0
-# What they say is too large for a datagram.
+OBSERVED_SECONDS = 5.0
+# Upstreams that leave at once: the update is too large for a datagram.
 LEAVING = 40
-# Less than the pause after a change.
-JOINED_SECONDS = 0.06
+# Shorter than the pause after a change, in which changes are coalesced.
+COALESCED_SECONDS = 0.06
 
 
 @dataclass
-class _Asking:
-    """Has the hosts that are asked first never answer.
+class _QueryRecorder:
+    """Records the queries of a host, and leaves some of them unanswered.
 
     Attributes:
-        stuck: How many.
-        silent: Addresses of others that do not answer either.
-        hosts: Addresses asked, in the order of the first question.
-        open: Addresses of questions that are not answered.
-        most: The most questions that were open at once to one host.
-        questions: Questions that were asked.
+        host: The host that sends the queries.
+        stuck: Number of peers that never answer: those queried first.
+        silent: Addresses of other peers that do not answer either.
+        hosts: Queried addresses, in the order of the first query.
+        open: Addresses of the open queries.
+        max_open: Most queries that were open to one peer at the same time.
+        queries: Number of queries sent.
     """
 
     host: GatewayHost
@@ -40,11 +41,11 @@
     silent: set[str] = field(default_factory=set)
     hosts: list[str] = field(default_factory=list)
     open: list[str] = field(default_factory=list)
-    most: int = 0
-    questions: int = 0
+    max_open: int = 0
+    queries: int = 0
 
     def __post_init__(self) -> None:
-        self._passed_on = self.host.exchange.ask
+        self._forward_query = self.host.exchange.ask
         self.host.exchange.ask = self._ask
 
     def _ask(self, request: HTTPRequest) -> Awaitable[HTTPResponse]:
@@ -54,11 +55,11 @@
         if host not in self.hosts:
             self.hosts.append(host)
         self.open.append(host)
-        self.questions += 1
-        self.most = max(self.most, self.open.count(host))
+        self.queries += 1
+        self.max_open = max(self.max_open, self.open.count(host))
         try:
             if host not in self.silent.union(self.hosts[: self.stuck]):
-                return await self._passed_on(request)
+                return await self._forward_query(request)
             await asyncio.sleep(request.request_timeout or 0)
             raise HTTPClientError(599, 'timeout')
         finally:
@@ -66,116 +67,117 @@
 
 
 @dataclass(frozen=True)
-class _Shown:
-    """What a play has shown.
+class _Result:
+    """Result of a simulated run.
 
     Attributes:
-        seconds: From the acknowledgement to the last use.
-        most: The most questions that were open at once to one host.
-        asked: How many hosts were asked.
-        questions: How many questions they were asked.
+        seconds: Most seconds from an acknowledgement to the last use.
+        max_open: Most queries that were open to one peer at the same time.
+        queried: Number of peers that were queried.
+        queries: Number of queries that they received.
     """
 
     seconds: float
-    most: int
-    asked: int
-    questions: int
+    max_open: int
+    queried: int
+    queries: int
 
 
-def play_stuck(stuck: int, seed: int, *, differs: bool) -> _Shown:
-    """Have upstreams leave while hosts do not answer another.
+def play_stuck(stuck: int, seed: int, *, differs: bool) -> _Result:
+    """Have upstreams leave while peers do not answer the queries of a host.
 
     Args:
-        stuck: Number of hosts that do not.
-        seed: Of all draws.
-        differs: Whether one more does not that is asked before, as what it
-            tells of requests that end upstreams differs.
+        stuck: Number of peers that do not answer.
+        seed: Seed of all random draws.
+        differs: Whether one more peer does not answer, which is queried
+            earlier because its digest of suspect requests differs.
     """
 
-    async def main() -> _Shown:
+    async def main() -> _Result:
         with without_clients():
             play = NewsPlay(layout_of(2, 1, 5), BOUNDS, 48, seed)
             await play.start_all()
-            looking = asyncio.ensure_future(play.look())
+            polling = asyncio.ensure_future(play.look())
             await asyncio.sleep(CALM_SECONDS)
-            shown = await _shown(play, stuck, differs=differs)
-            looking.cancel()
+            result = await _measure(play, stuck, differs=differs)
+            polling.cancel()
             await play.close()
-            return shown
+            return result
 
     return run_virtual(main)
 
 
-async def _shown(play: NewsPlay, stuck: int, *, differs: bool) -> _Shown:
+async def _measure(play: NewsPlay, stuck: int, *, differs: bool) -> _Result:
     first, second = play.sentinels[:2]
-    late, teller = [
+    late, reporter = [
         name
         for name, place in play.places.items()
         if place.settings.zone == play.places[first].settings.zone
         and name not in {first, second}
     ][:2]
-    # It learns from others only.
+    # This host learns from peers only.
     place = play.places[late]
     place.is_cut_from_store = True
     play.silence_watches([place])
     assert place.host is not None
-    asking = _Asking(place.host, stuck)
-    # Sentinels join what follows with it, and tell of both later.
+    recorder = _QueryRecorder(place.host, stuck)
+    # Sentinels coalesce the following changes with this one, and report all of
+    # them later.
     play.let_leave('i-47')
-    await asyncio.sleep(JOINED_SECONDS)
+    await asyncio.sleep(COALESCED_SECONDS)
     for number in range(LEAVING):
         play.let_leave(f'i-{number}')
     if differs:
-        await asyncio.sleep(JOINED_SECONDS)
-        asking.silent.add(play.places[teller].settings.address)
-        _tell_of_another_digest(play, teller)
-    await asyncio.sleep(AFTER_SECONDS)
+        await asyncio.sleep(COALESCED_SECONDS)
+        recorder.silent.add(play.places[reporter].settings.address)
+        _report_changed_digest(play, reporter)
+    await asyncio.sleep(OBSERVED_SECONDS)
     seconds = max(
         left.used_until.get(late, left.at) - left.at for left in play.leaving
     )
-    return _Shown(
+    return _Result(
         seconds,
-        asking.most,
-        len(asking.hosts),
-        asking.questions,
+        recorder.max_open,
+        len(recorder.hosts),
+        recorder.queries,
     )
 
 
-def _tell_of_another_digest(play: NewsPlay, teller: str) -> None:
-    host = play.places[teller].host
+def _report_changed_digest(play: NewsPlay, reporter: str) -> None:
+    host = play.places[reporter].host
     assert host is not None
-    tell = host.radio._versions
+    versions = host.radio._versions
 
-    def told() -> Versions:
-        return replace(tell(), suspects=12345)
+    def changed() -> Versions:
+        return replace(versions(), suspects=12345)
 
-    host.radio._versions = told
+    host.radio._versions = changed
     host.radio.send_beats()
 
 
 @pytest.mark.parametrize('seed', [1, 2])
 @pytest.mark.parametrize('stuck', [1, 2, 3])
-def test_hosts_that_never_answer_do_not_make_news_late(
+def test_peers_that_never_answer_do_not_delay_updates(
     stuck: int,
     seed: int,
 ) -> None:
-    shown = play_stuck(stuck, seed, differs=False)
-    assert shown.seconds <= BOUNDS.drain_seconds * MAX_BOUND_SHARE
-    assert shown.asked > stuck
-    assert shown.most == 1
+    result = play_stuck(stuck, seed, differs=False)
+    assert result.seconds <= BOUNDS.drain_seconds * MAX_BOUND_SHARE
+    assert result.queried > stuck
+    assert result.max_open == 1
 
 
 @pytest.mark.parametrize('seed', [1, 2])
-def test_a_digest_that_nobody_answers_for_does_not_make_news_late(
+def test_an_unanswered_query_for_a_digest_does_not_delay_updates(
     seed: int,
 ) -> None:
-    shown = play_stuck(0, seed, differs=True)
-    assert shown.seconds <= BOUNDS.drain_seconds * MAX_BOUND_SHARE
-    assert shown.most == 1
+    result = play_stuck(0, seed, differs=True)
+    assert result.seconds <= BOUNDS.drain_seconds * MAX_BOUND_SHARE
+    assert result.max_open == 1
 
 
 @pytest.mark.parametrize('seed', [1, 2])
-def test_nobody_is_asked_twice_for_news_where_all_answer(seed: int) -> None:
-    shown = play_stuck(0, seed, differs=False)
-    # The change before is news of its own.
-    assert shown.questions <= 2
+def test_no_query_is_repeated_while_all_peers_answer(seed: int) -> None:
+    result = play_stuck(0, seed, differs=False)
+    # The first change is an update of its own.
+    assert result.queries <= 2
--- a/tests/functional/test_upstream_notices.py
+++ b/tests/functional/test_upstream_notices.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave, or ask for no requests for a time, in their answers."""
+"""Upstreams whose answers announce that they leave, or ask for a pause."""
 
 import asyncio
 import time
@@ -26,31 +26,31 @@
 
 SEAL = 'Wardstair-Server-Seal: s.1\r\n'
 NOT_RUN = 'Wardstair-Not-Executed: 1\r\n'
-ROOM = 'Wardstair-Server-Load: 0,0,4\r\n'
+LOAD = 'Wardstair-Server-Load: 0,0,4\r\n'
 PAUSE_SECONDS = 30
-# By the users' rules: what may still come after a pause was asked for, from
-# this long after it.
-SLACK = 2
-SLACK_SECONDS = 0.5
+# The requirements permit this many requests in a pause, counted from this time
+# after the upstream asked for it.
+MAX_REQUESTS_IN_PAUSE = 2
+PAUSE_TOLERANCE_SECONDS = 0.5
 DRAIN_SECONDS = 0.5
 REQUESTS = 12
 
 
 @dataclass
 class Notifier:
-    """An upstream's script that gives a notice in each answer.
+    """Script of an upstream that gives a notice in each answer.
 
     Attributes:
-        status: Status line of its answers.
-        extra: Their headers.
-        told_at: When the first was written.
-        came: When requests came.
+        status: Status line of the answers.
+        extra: Additional headers of the answers.
+        notified_at: Time in seconds at which the first answer was written.
+        arrivals: Arrival times of requests in seconds.
     """
 
     status: str
     extra: str
-    told_at: float | None = None
-    came: list[float] = field(default_factory=list)
+    notified_at: float | None = None
+    arrivals: list[float] = field(default_factory=list)
 
     async def answer(
         self,
@@ -58,7 +58,7 @@
         seen: Seen,
         writer: asyncio.StreamWriter,
     ) -> None:
-        self.came.append(time.monotonic())
+        self.arrivals.append(time.monotonic())
         writer.write(
             whole_answer(
                 seen.request_id,
@@ -68,13 +68,13 @@
             )
         )
         await writer.drain()
-        if self.told_at is None:
-            self.told_at = time.monotonic()
+        if self.notified_at is None:
+            self.notified_at = time.monotonic()
 
-    def came_after(self, seconds: float) -> int:
-        """Count what came from so long after the first notice."""
-        assert self.told_at is not None
-        return sum(at > self.told_at + seconds for at in self.came)
+    def count_after(self, seconds: float) -> int:
+        """Count requests that arrive later than this after the first notice."""
+        assert self.notified_at is not None
+        return sum(at > self.notified_at + seconds for at in self.arrivals)
 
 
 def leaver() -> Notifier:
@@ -83,11 +83,11 @@
 
 def pauser() -> Notifier:
     pause = f'Retry-After: {PAUSE_SECONDS}\r\n'
-    return Notifier('503 Service Unavailable', f'{NOT_RUN}{ROOM}{pause}')
+    return Notifier('503 Service Unavailable', f'{NOT_RUN}{LOAD}{pause}')
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a timeout."""
 
     async def main() -> None:
         async with asyncio.timeout(30):
@@ -106,14 +106,14 @@
 
 
 async def ask_many(rig: Rig, target: str, keys: str = 'a') -> None:
-    """Send requests for many keys, so that each upstream is the home of some.
+    """Send requests with many keys; each upstream is preferred for some.
 
-    Each is resent or hedged where the other upstream does not answer it.
+    A request is resent or hedged if the other upstream does not answer it.
 
     Args:
-        rig: Where to.
-        target: Their target.
-        keys: Begin of the keys; no upstream remembers new ones.
+        rig: Rig with the gateway that receives the requests.
+        target: Target of the requests.
+        keys: Prefix of the keys; a new prefix makes keys that are cold.
     """
     await asyncio.gather(
         *(
@@ -123,8 +123,8 @@
     )
 
 
-# What the other upstream does meanwhile, and how a request may then come.
-WAYS = [
+# Behaviour of the other upstream, and how a request then reaches the first.
+OTHER_BEHAVIOURS = [
     pytest.param(answer_ok, id='first choice'),
     pytest.param(answer_full, id='resend after a rejection'),
     pytest.param(answer_failure, id='resend after a failure'),
@@ -132,7 +132,7 @@
 ]
 
 
-@pytest.mark.parametrize('other', WAYS)
+@pytest.mark.parametrize('other', OTHER_BEHAVIOURS)
 def test_an_upstream_that_leaves_gets_no_request_after_the_drain_time(
     other: Script,
 ) -> None:
@@ -144,17 +144,17 @@
         )
         bounds = Bounds(drain_seconds=DRAIN_SECONDS)
         async with Rig(*upstreams, bounds=bounds) as rig:
-            while notifier.told_at is None:
+            while notifier.notified_at is None:
                 await ask_many(rig, '/read/x')
             await asyncio.sleep(DRAIN_SECONDS)
             sent_at = time.monotonic()
             await ask_many(rig, '/read/x', 'b')
-            assert not notifier.came_after(sent_at - notifier.told_at)
+            assert not notifier.count_after(sent_at - notifier.notified_at)
 
     run(test)
 
 
-def test_upstreams_that_all_leave_serve_until_the_drain_time_is_short() -> None:
+def test_upstreams_that_all_leave_serve_until_the_drain_time_ends() -> None:
     async def test() -> None:
         notifier = leaver()
         upstreams = (
@@ -164,24 +164,25 @@
         bounds = Bounds(drain_seconds=4.0)
         async with Rig(*upstreams, bounds=bounds) as rig:
             table = rig.gateway.local_state.notices
-            lives = rig.gateway.local_state.catalog.of_service('views')
+            incarnations = rig.gateway.local_state.catalog.of_service('views')
             while any(
-                table.availability(one) is Availability.open for one in lives
+                table.availability(one) is Availability.open
+                for one in incarnations
             ):
                 assert (await rig.ask('/read/x')).status == 200
             assert (await rig.ask('/order/x', 'POST', b'1')).status == 200
             await rig.until(
                 lambda: all(
                     table.availability(one) is Availability.closed
-                    for one in lives
+                    for one in incarnations
                 )
             )
-            came = len(notifier.came)
+            before = len(notifier.arrivals)
             refused = await rig.ask('/read/x')
             assert refused.status == 503
             assert b'upstreams-leaving' in refused.body
             assert float(refused.headers['retry-after']) > 0
-            assert len(notifier.came) == came
+            assert len(notifier.arrivals) == before
 
     run(test)
 
@@ -189,11 +190,11 @@
 @pytest.mark.parametrize(
     ('born', 'is_used'),
     [
-        pytest.param(1, False, id='the same life'),
-        pytest.param(2, True, id='the next life'),
+        pytest.param(1, False, id='same incarnation'),
+        pytest.param(2, True, id='next incarnation'),
     ],
 )
-def test_an_entry_that_comes_back_ends_no_leaving_of_its_life(
+def test_a_leaving_notice_outlasts_the_removal_of_the_entry(
     born: int,
     *,
     is_used: bool,
@@ -218,8 +219,10 @@
     run(test)
 
 
-@pytest.mark.parametrize('other', WAYS)
-def test_an_upstream_that_asks_for_a_pause_gets_one(other: Script) -> None:
+@pytest.mark.parametrize('other', OTHER_BEHAVIOURS)
+def test_an_upstream_that_asks_for_a_pause_gets_few_requests(
+    other: Script,
+) -> None:
     async def test() -> None:
         notifier = pauser()
         upstreams = (
@@ -227,11 +230,14 @@
             UpstreamStandin('i-2', other),
         )
         async with Rig(*upstreams) as rig:
-            while notifier.told_at is None:
+            while notifier.notified_at is None:
                 await ask_many(rig, '/read/x')
-            await asyncio.sleep(SLACK_SECONDS)
+            await asyncio.sleep(PAUSE_TOLERANCE_SECONDS)
             await ask_many(rig, '/read/x', 'b')
-            assert notifier.came_after(SLACK_SECONDS) <= SLACK
+            assert (
+                notifier.count_after(PAUSE_TOLERANCE_SECONDS)
+                <= MAX_REQUESTS_IN_PAUSE
+            )
 
     run(test)
 
@@ -245,17 +251,17 @@
         )
         async with Rig(*upstreams) as rig:
             await ask_many(rig, '/read/x')
-            came = len(notifier.came)
+            before = len(notifier.arrivals)
             refused = await rig.ask('/order/x', 'POST', b'1')
             assert refused.status == 503
             assert b'upstreams-paused' in refused.body
             assert 0 < float(refused.headers['retry-after']) <= PAUSE_SECONDS
-            assert len(notifier.came) == came
+            assert len(notifier.arrivals) == before
 
     run(test)
 
 
-def test_callers_are_served_while_a_part_of_a_service_pauses() -> None:
+def test_callers_are_served_while_some_upstreams_pause() -> None:
     async def test() -> None:
         pausers = [pauser(), pauser()]
         upstreams = [
@@ -270,14 +276,14 @@
             await load.play(fleet.hosts, 3)
             assert {answer.status for answer in load.answers} == {200}
             for one in pausers:
-                assert one.came
-                borne = SLACK * len(fleet.hosts)
-                assert one.came_after(SLACK_SECONDS) <= borne
+                assert one.arrivals
+                permitted = MAX_REQUESTS_IN_PAUSE * len(fleet.hosts)
+                assert one.count_after(PAUSE_TOLERANCE_SECONDS) <= permitted
 
     run(test)
 
 
-def test_a_request_that_waits_for_a_connection_heeds_a_pause(
+def test_a_request_that_waits_for_a_connection_respects_a_pause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -299,7 +305,7 @@
                 return await connect(name, host, port)
 
             monkeypatch.setattr(pool, 'connect', connect_late)
-            asked = asyncio.gather(
+            pending = asyncio.gather(
                 *(
                     rig.ask(request_id=f'r{number}', key=str(number))
                     for number in range(REQUESTS)
@@ -310,8 +316,8 @@
             assert paused.name in waiting
             rig.gateway.local_state.notices.note_pause(upstream, PAUSE_SECONDS)
             may_connect.set()
-            answers = await asked
+            answers = await pending
             assert {answer.status for answer in answers} == {200}
-            assert not notifier.came
+            assert not notifier.arrivals
 
     run(test)
--- a/tests/functional/test_watches_after_restore.py
+++ b/tests/functional/test_watches_after_restore.py
@@ -1,7 +1,7 @@
-"""Watches of a store that was restored and has issued the same numbers again.
+"""Watches of a store that reuses revisions after a restore.
 
-Such a watch is answered as if nothing had happened and lacks what was written
-below the number that it goes on from: the news of it reached no host at all.
+The store accepts such a watch as before the restore. The watch misses changes
+below the revision from which it continues, so that these reached no host.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 from lib.upstream_standin import UpstreamStandin
 
 HOSTS = 3
-# Numbers that are issued after the copy, before and after the restore: the
-# second passes all that a host has seen.
+# Writes of all upstreams after the copy, before and after the restore: the
+# later ones exceed every revision that a host has read.
 LOST_WRITES = 4
 LATER_WRITES = 12
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a timeout."""
 
     async def main() -> None:
         async with asyncio.timeout(60):
@@ -67,7 +67,7 @@
         ),
     ],
 )
-def test_what_is_written_below_the_watched_number_is_in_force(
+def test_changes_below_the_watched_revision_are_in_force(
     restores: int,
     write: Callable[[Fleet], None],
     is_in_force: Callable[[Fleet], bool],
@@ -85,7 +85,7 @@
                     for host in fleet.hosts
                 ),
             )
-            # Watches of evacuations go on from here.
+            # Watches of evacuations continue from this revision.
             fleet.store.put('evacuations', ZONES[0], {})
             await until(lambda: is_evacuated(fleet, ZONES[0]))
             fleet.store.delete('evacuations', ZONES[0])
--- a/tests/functional/test_what_the_copy_lacks.py
+++ b/tests/functional/test_what_the_copy_lacks.py
@@ -1,4 +1,4 @@
-"""A fleet whose store is restored from a copy that lacks what is in force."""
+"""A store that is restored from a copy without the latest changes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,12 +13,12 @@
 from wardstair.state.catalog import RETURN_SECONDS
 
 HOSTS = 3
-# Until the operator and the upstreams have written again.
+# Time in which the operator and the upstreams have not repeated their writes.
 SILENT_SECONDS = 1.0
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test within a bound of time."""
+    """Run a test with a timeout."""
 
     async def main() -> None:
         async with asyncio.timeout(60):
@@ -27,15 +27,15 @@
     asyncio.run(main())
 
 
-def has_noticed(fleet: Fleet) -> bool:
+def knows_new_era(fleet: Fleet) -> bool:
     return all(
         host.local_state.evacuations_revision.era == fleet.store.era
         for host in fleet.hosts
     )
 
 
-async def holds(is_true: Callable[[], bool], seconds: float) -> bool:
-    """Return whether something is true at each look during some time."""
+async def stays_true(is_true: Callable[[], bool], seconds: float) -> bool:
+    """Return whether a condition holds at every check for some seconds."""
     end = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < end:
         if not is_true():
@@ -57,13 +57,13 @@
             for _ in range(restores):
                 await restore(fleet, copy)
                 write_again(fleet, 2)
-                # Also a host that starts now, and reads the copy.
+                # A host that starts now and reads the copy learns it as well.
                 port = fleet.hosts[0].settings.fleet_ports[0]
                 host = await fleet.start_host(len(fleet.hosts), port)
-                await until(lambda: has_noticed(fleet))
+                await until(lambda: knows_new_era(fleet))
                 await until(lambda: host.is_ready)  # noqa: B023
                 await until(lambda: is_evacuated(fleet, ZONES[1]))
-                assert await holds(
+                assert await stays_true(
                     lambda: is_evacuated(fleet, ZONES[1]),
                     SILENT_SECONDS,
                 )
@@ -104,14 +104,14 @@
             await until(lambda: not any(is_used(fleet, 'i-0')))
             for _ in range(restores):
                 await restore(fleet, copy)
-                assert await holds(
+                assert await stays_true(
                     lambda: not any(is_used(fleet, 'i-0')),
                     SILENT_SECONDS,
                 )
-                assert has_noticed(fleet)
-            # The store notices its silence.
+                assert knows_new_era(fleet)
+            # The store removes the entry, as it is no longer renewed.
             store.delete('servers', 'i-0')
-            assert await holds(
+            assert await stays_true(
                 lambda: not any(is_used(fleet, 'i-0')),
                 SILENT_SECONDS,
             )
@@ -119,7 +119,7 @@
     run(test)
 
 
-def test_an_upstream_that_the_copy_lacks_is_used_until_it_is_back() -> None:
+def test_an_upstream_missing_in_the_copy_is_used_until_it_registers() -> None:
     async def test() -> None:
         upstreams = [UpstreamStandin(f'i-{number}') for number in range(HOSTS)]
         async with running_fleet(HOSTS, upstreams) as fleet:
@@ -127,12 +127,12 @@
             fleet.store.put('servers', 'i-new', upstream_spec(9))
             await until(lambda: all(is_used(fleet, 'i-new')))
             await restore(fleet, copy)
-            assert await holds(
+            assert await stays_true(
                 lambda: all(is_used(fleet, 'i-new')),
                 SILENT_SECONDS,
             )
             fleet.store.put('servers', 'i-new', upstream_spec(9))
-            assert await holds(
+            assert await stays_true(
                 lambda: all(is_used(fleet, 'i-new')),
                 RETURN_SECONDS + SILENT_SECONDS,
             )
