--- a/tests/lib/__init__.py
+++ b/tests/lib/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests."""
+"""Helpers for the tests."""
--- a/tests/lib/beats.py
+++ b/tests/lib/beats.py
@@ -1,4 +1,4 @@
-"""Heartbeats for tests."""
+"""Builders of heartbeats for tests."""
 
 from wardstair.fleet.heartbeats import (
     ContactAge,
@@ -11,7 +11,7 @@
 
 
 def peer_of(name: str, zone: str = 'z') -> PeerName:
-    """Return a host with an address of its own name."""
+    """Return a host whose address is its name."""
     return PeerName(name, zone, name, f'{name}:1')
 
 
@@ -35,7 +35,7 @@
     is_sentinel: bool = False,
     is_contact_suspect: bool = False,
 ) -> HeartbeatDatagram:
-    """Return a heartbeat."""
+    """Return a heartbeat of a sender."""
     return HeartbeatDatagram(
         kind,
         sender,
--- a/tests/lib/cold.py
+++ b/tests/lib/cold.py
@@ -1,4 +1,4 @@
-"""What hosts would send to a cold upstream between them."""
+"""Requests that all hosts together would send to a cold upstream."""
 
 from collections.abc import Collection, Iterable
 
@@ -10,8 +10,8 @@
 )
 
 UPSTREAM = 'i-1'
-STEPS_A_SECOND = 100
-PLAYED_SECONDS = 6
+STEPS_PER_SECOND = 100
+SIMULATED_SECONDS = 6
 
 
 def settled_view(
@@ -24,7 +24,7 @@
     *,
     knows_zones: bool = True,
 ) -> HostView:
-    """Return the view of a host that had time to know the others."""
+    """Return the view of a host that has had time to learn of the others."""
     return HostView(
         own,
         zone,
@@ -42,24 +42,24 @@
     limit: ColdLimit,
     zone: str = 'z',
 ) -> int:
-    """Return the most that all hosts send to a cold upstream in a second.
+    """Return the most requests sent to a cold upstream in any second.
 
-    Every host has a request for it at any time.
+    Counts the requests of all hosts; each always has one waiting for it.
     """
     sent: list[float] = []
     for view in views:
         rate = sender_rate(UPSTREAM, zone, limit, view)
-        pace = SendRateLimiter()
-        steps = range(PLAYED_SECONDS * STEPS_A_SECOND)
-        times = (step / STEPS_A_SECOND for step in steps)
-        sent.extend(now for now in times if pace.take(rate, now))
-    begins = range((PLAYED_SECONDS - 1) * STEPS_A_SECOND)
+        limiter = SendRateLimiter()
+        steps = range(SIMULATED_SECONDS * STEPS_PER_SECOND)
+        times = (step / STEPS_PER_SECOND for step in steps)
+        sent.extend(now for now in times if limiter.take(rate, now))
+    window_starts = range((SIMULATED_SECONDS - 1) * STEPS_PER_SECOND)
     return max(
-        sum(1 for at in sent if 0 <= at - begin / STEPS_A_SECOND < 1)
-        for begin in begins
+        sum(1 for at in sent if 0 <= at - start / STEPS_PER_SECOND < 1)
+        for start in window_starts
     )
 
 
 def most_allowed(limit: ColdLimit) -> float:
-    """Return the requests that a cold upstream bears in a second."""
+    """Return the requests that a cold upstream may get in a second."""
     return limit.rate * limit.overshoot + limit.tolerance
--- a/tests/lib/cut_fleet.py
+++ b/tests/lib/cut_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways each with ways of their own to the upstreams, which can be cut."""
+"""Gateways whose network paths to the upstreams can be cut one by one."""
 
 import asyncio
 import json
@@ -30,15 +30,15 @@
 class Cut(StrEnum):
     """How a host is cut off from an upstream."""
 
-    # New connections hang, open ones fall silent.
+    # New connections hang; open ones stay open but carry no data.
     hang = 'hang'
     # Connections are accepted and reset, open ones are reset.
     reset = 'reset'
     # New connections are refused, open ones are reset.
     refuse = 'refuse'
-    # New connections are refused, open ones live on.
+    # New connections are refused, open ones keep working.
     refuse_new = 'refuse-new'
-    # New connections are accepted and reset, open ones live on.
+    # New connections are accepted and reset, open ones keep working.
     reset_new = 'reset-new'
 
 
@@ -46,24 +46,24 @@
 
 
 @dataclass
-class Ways:
-    """The ways of one gateway to the upstreams.
+class UpstreamPaths:
+    """Network paths from one gateway to the upstreams.
 
     Attributes:
-        proxies: By the port of the upstream.
-        cuts: How the way is cut, by the port of the upstream.
+        proxies: Proxy in front of each upstream, by the upstream's port.
+        cuts: How a path is cut, by the port of its upstream.
     """
 
     proxies: dict[int, Proxy] = field(default_factory=dict)
     cuts: dict[int, Cut] = field(default_factory=dict)
 
     def attach(self, host: GatewayHost) -> None:
-        """Have a gateway reach the upstreams by these ways."""
+        """Have a gateway connect to the upstreams through the proxies."""
         host.pool.dial = self._dial
         host.exit_detector._probe = self._probe
 
     def cut(self, how: Cut, ports: Iterable[int]) -> None:
-        """Cut the ways to some upstreams."""
+        """Cut the paths to some upstreams."""
         for port in ports:
             self.cuts[port] = how
             proxy = self.proxies[port]
@@ -71,11 +71,11 @@
             if how is Cut.refuse:
                 proxy.reset_all()
             if how is Cut.reset_new:
-                # Each gateway has proxies of its own.
+                # No other gateway uses this proxy.
                 proxy.cut([ADDRESS], CutWay.reset_new)
 
     def mend(self) -> None:
-        """End all cuts; connections that fell silent stay so."""
+        """End all cuts; connections that carry no data stay so."""
         for port, how in self.cuts.items():
             if how is Cut.hang:
                 self.proxies[port].silence_open()
@@ -92,20 +92,20 @@
         proxy = self.proxies.get(port)
         if proxy is None:
             return await dial_tcp(on_closed, host, port)
-        await self._pass(port)
+        await self._apply_cut(port)
         return await dial_tcp(on_closed, host, proxy.port)
 
     async def _probe(self, host: str, port: int) -> ProbeOutcome:
         try:
             async with asyncio.timeout(0.5):
-                await self._pass(port)
+                await self._apply_cut(port)
         except TimeoutError:
             return ProbeOutcome.unknown
         except ConnectionRefusedError:
             return ProbeOutcome.refused
         return await probe(host, self.proxies[port].port)
 
-    async def _pass(self, port: int) -> None:
+    async def _apply_cut(self, port: int) -> None:
         match self.cuts.get(port):
             case Cut.hang:
                 await asyncio.Event().wait()
@@ -118,10 +118,10 @@
     """Gateways that can be cut off from upstreams.
 
     Attributes:
-        ways: The ways of each gateway.
+        paths: Network paths of each gateway.
     """
 
-    ways: list[Ways] = field(default_factory=list)
+    paths: list[UpstreamPaths] = field(default_factory=list)
 
     def hosts_of(self, *zones: str) -> list[GatewayHost]:
         """Return the gateways of some zones."""
@@ -137,12 +137,12 @@
         chosen = self.upstreams if upstreams is None else upstreams
         ports = [upstream.port for upstream in chosen]
         for host in hosts:
-            self.ways[self.hosts.index(host)].cut(how, ports)
+            self.paths[self.hosts.index(host)].cut(how, ports)
 
     def mend(self) -> None:
         """End all cuts."""
-        for ways in self.ways:
-            ways.mend()
+        for paths in self.paths:
+            paths.mend()
 
 
 async def _work(
@@ -159,11 +159,12 @@
     bounds: Bounds | None = None,
     configuration: Stored | None = None,
 ) -> AsyncIterator[CutFleet]:
-    """Run gateways that know each other and all upstreams.
+    """Run gateways until they know each other and all upstreams, and stop them.
 
     Args:
-        bounds: What the gateways are held to, if not to the defaults.
-        configuration: What is in force; by default a route of each kind.
+        bounds: Bounds of the gateways; the defaults if not given.
+        configuration: Configuration in force; by default one safe and one
+            unsafe route.
     """
     fleet = CutFleet(
         bounds=bounds,
@@ -178,31 +179,31 @@
     await fleet.start_store(configuration or configuration_spec(1, **routes))
     (port,) = free_ports(1)
     for number in range(HOSTS):
-        ways = Ways()
+        paths = UpstreamPaths()
         for upstream in fleet.upstreams:
-            ways.proxies[upstream.port] = Proxy(upstream.port)
-            await ways.proxies[upstream.port].start()
-        fleet.ways.append(ways)
-        ways.attach(await fleet.start_host(number, port))
+            paths.proxies[upstream.port] = Proxy(upstream.port)
+            await paths.proxies[upstream.port].start()
+        fleet.paths.append(paths)
+        paths.attach(await fleet.start_host(number, port))
     try:
         await until(fleet.knows_all)
         yield fleet
     finally:
         await fleet.stop()
-        for ways in fleet.ways:
-            for proxy in ways.proxies.values():
+        for paths in fleet.paths:
+            for proxy in paths.proxies.values():
                 await proxy.stop()
 
 
 @dataclass
-class FirstTry:
-    """The first try of a request.
+class FirstAttempt:
+    """The first attempt at a request.
 
     Attributes:
-        at: Monotonic time when it was sent.
+        at: Monotonic time at which it was sent, in seconds.
         host: Name of the gateway that it was sent to.
-        status: How it ended; 0 for a connection that ended.
-        seconds: How long that took.
+        status: Status of the response; 0 if the connection closed first.
+        seconds: Time until it ended.
         is_once: Whether it may run only once.
     """
 
@@ -215,23 +216,24 @@
 
 @dataclass
 class CutLoad:
-    """Callers that ask for hosts and keep connections, as the protocol says.
+    """Callers that look up hosts and reuse connections, as the protocol says.
 
     Attributes:
-        fleet: Whom they call.
-        rate: Requests a second of all callers.
-        tries: The first tries.
-        retried: How the retries ended, by status.
+        fleet: Gateways that receive the requests.
+        rate: Requests per second of all callers together.
+        callers: Number of callers.
+        first_attempts: The first attempts.
+        retried: Status of each retry.
     """
 
     fleet: CutFleet
     rate: float = 120.0
     callers: int = 48
-    tries: list[FirstTry] = field(default_factory=list)
+    first_attempts: list[FirstAttempt] = field(default_factory=list)
     retried: list[int] = field(default_factory=list)
 
     async def play(self, seconds: float) -> None:
-        """Send for some time."""
+        """Send requests for some time, in seconds."""
         end = time.monotonic() + seconds
         callers = [
             _LoadCaller(self, number, Random(number))
@@ -245,23 +247,23 @@
         end: float,
         hosts: Iterable[GatewayHost],
     ) -> tuple[int, int]:
-        """Return the served first tries of a time at some hosts, and all.
+        """Return the number of served and of all first attempts at some hosts.
 
         Args:
-            begin: Monotonic time from which on they were sent.
-            end: Monotonic time before which they were sent.
-            hosts: Where to.
+            begin: Monotonic time from which on attempts count, in seconds.
+            end: Monotonic time before which attempts count, in seconds.
+            hosts: Hosts whose attempts count.
         """
         names = {host.settings.name for host in hosts}
         sent = [
             one
-            for one in self.tries
+            for one in self.first_attempts
             if begin <= one.at < end and one.host in names
         ]
         return sum(one.status == 200 for one in sent), len(sent)
 
     def ran_twice(self) -> list[str]:
-        """Return the ids of orders that were run more than once."""
+        """Return the ids of orders that ran more than once."""
         seen: dict[str, int] = {}
         for upstream in self.fleet.upstreams:
             for one in upstream.seen:
@@ -277,10 +279,10 @@
         self._load = load
         self._random = random
         self._zone = ZONES[number % len(ZONES)]
-        self._kept_factor = 3.0 if number % 8 == 0 else 1.0
-        self._keeps_connection = number % 3 > 0
+        self._ttl_factor = 3.0 if number % 8 == 0 else 1.0
+        self._reuses_connection = number % 3 > 0
         self._addresses: list[str] = []
-        self._until = 0.0
+        self._lookup_expires_at = 0.0
         self._failed: set[str] = set()
         self._caller: Caller | None = None
         self._address = ''
@@ -293,14 +295,14 @@
             await self._request()
             pause = self._random.uniform(0.5, 1.5) * mean
             await asyncio.sleep(max(0.0, began + pause - time.monotonic()))
-        self._hang_up()
+        self._disconnect()
 
     async def _request(self) -> None:
         is_once = self._random.random() < 1 / 3
         sent_at = time.monotonic()
-        status, host = await self._try(is_once=is_once)
-        self._load.tries.append(
-            FirstTry(
+        status, host = await self._attempt(is_once=is_once)
+        self._load.first_attempts.append(
+            FirstAttempt(
                 sent_at,
                 host,
                 status,
@@ -311,17 +313,17 @@
         if status == 200:
             return
         self._failed.add(self._address)
-        self._hang_up()
+        self._disconnect()
         if status == 503 or not is_once:
-            status, _ = await self._try(is_once=is_once)
+            status, _ = await self._attempt(is_once=is_once)
             self._load.retried.append(status)
             if status != 200:
-                self._hang_up()
+                self._disconnect()
 
-    async def _try(self, *, is_once: bool) -> tuple[int, str]:
+    async def _attempt(self, *, is_once: bool) -> tuple[int, str]:
         self._look_up()
-        if not self._keeps_connection:
-            self._hang_up()
+        if not self._reuses_connection:
+            self._disconnect()
         caller = self._caller
         if caller is None:
             caller = await self._connect()
@@ -345,7 +347,7 @@
 
     def _look_up(self) -> None:
         now = time.monotonic()
-        if now < self._until:
+        if now < self._lookup_expires_at:
             return
         nearest = self._random.choice(self._load.fleet.hosts_of(self._zone))
         region = nearest.settings.region
@@ -355,19 +357,19 @@
             )
         )
         self._addresses = answer['addresses']
-        self._until = now + answer['ttl_s'] * self._kept_factor
+        self._lookup_expires_at = now + answer['ttl_s'] * self._ttl_factor
         self._failed.clear()
         if self._address not in self._addresses:
-            self._hang_up()
+            self._disconnect()
 
     async def _connect(self) -> Caller:
-        sound = [one for one in self._addresses if one not in self._failed]
-        self._address = self._random.choice(sound or self._addresses)
+        usable = [one for one in self._addresses if one not in self._failed]
+        self._address = self._random.choice(usable or self._addresses)
         host, _, port = self._address.rpartition(':')
         self._caller = await Caller.connect_to(Listener(host, int(port)))
         return self._caller
 
-    def _hang_up(self) -> None:
+    def _disconnect(self) -> None:
         if self._caller is not None:
             self._caller.close()
             self._caller = None
--- a/tests/lib/documents.py
+++ b/tests/lib/documents.py
@@ -14,14 +14,14 @@
     idle_seconds: float = 60,
     **changes: Any,
 ) -> SteeringDocument:
-    """Return a configuration with one upstream of each workload a zone.
+    """Return a configuration with one upstream per workload and zone.
 
     Args:
-        zones: Names of zones; the part before the dash is the region.
+        zones: Names of the zones; the part before the dash is the region.
         hosts_a_zone: Entry hosts in each zone.
         slots: Slots of each upstream.
-        idle_seconds: Seconds without progress that uploads may take.
-        changes: Tables that replace those made here.
+        idle_seconds: Seconds without progress after which an upload ends.
+        changes: Top-level tables that replace the default ones.
     """
     regions = sorted({zone.split('-')[0] for zone in zones})
     content: dict[str, Any] = {
--- a/tests/lib/fleet.py
+++ b/tests/lib/fleet.py
@@ -1,4 +1,4 @@
-"""Several gateways in this process, with upstreams and callers."""
+"""Several gateways in the test process, with upstreams and callers."""
 
 import asyncio
 import time
@@ -19,13 +19,13 @@
 
 @dataclass
 class Fleet:
-    """Gateways that hear each other, and what is around them.
+    """Gateways that exchange heartbeats, their store and their upstreams.
 
     Attributes:
         store: The platform's store.
-        bounds: What the gateways are held to, if not to the defaults.
-        hosts: The gateways, in turn in each zone.
-        upstreams: The upstreams, likewise.
+        bounds: Bounds of the gateways; the defaults if not given.
+        hosts: The gateways, assigned to the zones in turn.
+        upstreams: The upstreams, assigned to the zones in turn.
     """
 
     store: StoreStandin = field(default_factory=StoreStandin)
@@ -39,12 +39,12 @@
         port: int,
         store_port: int | None = None,
     ) -> GatewayHost:
-        """Start one gateway more; the first one is the others' seed.
+        """Start one more gateway; the first one is the seed of the others.
 
         Args:
-            number: Gives its name and zone.
-            port: Port of all hosts for each other.
-            store_port: Where it finds the store, if not directly.
+            number: Determines its name and zone.
+            port: Port for datagrams between hosts, the same on all of them.
+            store_port: Port of a proxy to the store, if it uses one.
         """
         settings = gateway_settings(
             store_port or self.store.port,
@@ -62,10 +62,10 @@
         return host
 
     async def start_store(self, configuration: Stored) -> None:
-        """Start the store and the upstreams, and write what they hold.
+        """Start the store and the upstreams, and write their objects to it.
 
         Args:
-            configuration: What is in force.
+            configuration: Configuration in force.
         """
         self.store.start()
         self.store.put('config', 'main', configuration)
@@ -76,7 +76,7 @@
             self.store.put('servers', upstream.name, entry)
 
     async def stop(self) -> None:
-        """Close everything that was started."""
+        """Stop all gateways and upstreams and the store."""
         for host in self.hosts:
             await host.close()
         for upstream in self.upstreams:
@@ -103,12 +103,13 @@
     upstreams: list[UpstreamStandin],
     configuration: Stored | None = None,
 ) -> AsyncIterator[Fleet]:
-    """Run gateways that know each other and all upstreams.
+    """Run gateways until they know each other and all upstreams, and stop them.
 
     Args:
-        size: How many gateways.
-        upstreams: The upstreams, of the service `views`, not started.
-        configuration: What is in force; by default one route of each kind.
+        size: Number of gateways.
+        upstreams: Upstreams of the service `views`, not yet started.
+        configuration: Configuration in force; by default one route of each
+            kind.
     """
     fleet = Fleet(upstreams=upstreams)
     await fleet.start_store(configuration or configuration_spec(1))
@@ -127,9 +128,10 @@
     """Callers that send to all hosts at a steady rate.
 
     Attributes:
-        rate: Requests a second of all callers.
-        target: Path of their requests.
-        answers: What they got.
+        rate: Requests per second of all callers together.
+        target: Path of the requests.
+        callers: Number of callers.
+        answers: Responses received.
     """
 
     rate: float
@@ -138,11 +140,11 @@
     answers: list[Answer] = field(default_factory=list)
 
     async def play(self, hosts: list[GatewayHost], seconds: float) -> None:
-        """Send for some time.
+        """Send requests for some time.
 
         Args:
-            hosts: Where to, in turn.
-            seconds: For how long.
+            hosts: Hosts to which the callers are assigned in turn.
+            seconds: Duration.
         """
         end = time.monotonic() + seconds
         await asyncio.gather(
--- a/tests/lib/fleet_load.py
+++ b/tests/lib/fleet_load.py
@@ -1,7 +1,7 @@
-"""A fleet that sends to upstreams which name limits, played without sockets.
+"""Simulates a fleet that sends to rate-limited upstreams, without sockets.
 
-Each host knows the others by what it was told a second ago or so; what it
-decides is the product's own code.
+Each host knows the load of the others as of about a second ago, and decides
+with the product's own code.
 """
 
 import heapq
@@ -22,17 +22,17 @@
 OVERSHOOT = 1.5
 SLACK = 5.0
 WINDOW = 4.0
-# Of the upstream that is played.
+# Zone of the simulated upstream.
 ZONE = 'z0'
 
 
 def bound_of(rate: float) -> FleetRateLimit:
-    """Return what is borne of an upstream that names a rate."""
+    """Return the limit of an upstream that reports a rate."""
     return FleetRateLimit(rate, OVERSHOOT, SLACK, WINDOW)
 
 
 def most_in_window(times: list[float], window: float = WINDOW) -> int:
-    """Return the most arrivals in any window."""
+    """Return the maximum number of arrivals in any window."""
     times = sorted(times)
     most = 0
     start = 0
@@ -45,16 +45,16 @@
 
 @dataclass
 class PlayedHost:
-    """One host of the play.
+    """A simulated host.
 
     Attributes:
         name: Its name.
         zone: Its zone.
-        load: Requests a second of its callers, now.
-        told: What it told last of its load.
-        view: What it knows now.
+        load: Current requests per second of its callers.
+        told: Load that it reported last.
+        view: Loads of the fleet as it knows them now.
         allowances: Its allowances by upstream.
-        knows_at: From when on it knows the limit.
+        knows_at: Time from which on it knows the limit, in seconds.
     """
 
     name: str
@@ -64,8 +64,8 @@
     view: LoadView = field(default_factory=lambda: LoadView('', ''))
     allowances: dict[str, Allowance] = field(default_factory=dict)
     knows_at: float = 0.0
-    _worked_out: tuple[FleetRateLimit, int] | None = None
-    _part: HostShare = NO_SHARE
+    _share_inputs: tuple[FleetRateLimit, int] | None = None
+    _share: HostShare = NO_SHARE
 
     def may_send(
         self,
@@ -74,13 +74,13 @@
         bound: FleetRateLimit,
         now: float,
     ) -> bool:
-        """Take a request for an upstream, if this host's part allows it."""
-        if self._worked_out != (bound, id(self.view)):
-            self._worked_out = (bound, id(self.view))
-            self._part = host_share(upstream, zone, bound, self.view)
-        part = self._part
+        """Count a request to an upstream, if this host's share allows it."""
+        if self._share_inputs != (bound, id(self.view)):
+            self._share_inputs = (bound, id(self.view))
+            self._share = host_share(upstream, zone, bound, self.view)
+        share = self._share
         allowance = self.allowances.setdefault(upstream, Allowance())
-        if not allowance.is_due(part.rate, now):
+        if not allowance.is_due(share.rate, now):
             return False
         allowance.take()
         return True
@@ -88,13 +88,14 @@
 
 @dataclass
 class PlayedFleet:
-    """Hosts of several zones.
+    """Simulated hosts of several zones.
 
     Attributes:
         hosts: The hosts.
-        random: Draws requests and delays.
-        delay: Longest time until told load is known, in seconds.
-        hears: Whether the first host hears the second one; all do by default.
+        random: Source of requests and delays.
+        delay: Longest time until reported load is known, in seconds.
+        hears: Whether the first host receives the reports of the second;
+            always by default.
     """
 
     hosts: list[PlayedHost]
@@ -119,7 +120,7 @@
         return cls(hosts, Random(seed))
 
     def refresh(self, host: PlayedHost) -> None:
-        """Let a host know what the others have told."""
+        """Update the view of a host from the reports of the others."""
         heard = [one for one in self.hosts if self.hears(host, one)]
         silent = [one.told for one in self.hosts if not self.hears(host, one)]
         zones: dict[str, float] = {}
@@ -143,31 +144,34 @@
         upstream: str = 'u',
         most: float = 20.0,
     ) -> list[float]:
-        """Return when requests came to one upstream.
+        """Return the times at which requests arrived at one upstream.
 
         Args:
-            wanted: Requests a second that a host has for it at a time.
-            bound: What it takes at a time.
-            seconds: How long to play.
-            upstream: Its name.
-            most: The most that a host may want.
+            wanted: Returns the requests per second of a host at a time.
+            bound: Returns the limit of the upstream at a time.
+            seconds: Simulated duration.
+            upstream: Name of the upstream.
+            most: Maximum that `wanted` returns.
         """
-        came = []
+        arrivals = []
         for host in self.hosts:
             host.told = host.load
         for host in self.hosts:
             self.refresh(host)
-        # When each host next hears heartbeats, and when it may have a request.
+        # When each host next receives heartbeats and may next have a request.
         due = [(self.random.uniform(0, 1), host, True) for host in self.hosts]
         due += [(self._gap(most), host, False) for host in self.hosts]
         numbers = count()
-        events = [(at, next(numbers), host, beats) for at, host, beats in due]
+        events = [
+            (at, next(numbers), host, is_heartbeat)
+            for at, host, is_heartbeat in due
+        ]
         heapq.heapify(events)
         while events[0][0] < seconds:
-            now, _, host, beats = heapq.heappop(events)
+            now, _, host, is_heartbeat = heapq.heappop(events)
             asked = wanted(host, now)
-            if beats:
-                # A heartbeat's worth of delay, another each time.
+            if is_heartbeat:
+                # Heartbeats arrive with a delay that is drawn each time.
                 gap = self.random.uniform(0.8, self.delay)
                 host.told = host.load
                 self.refresh(host)
@@ -175,9 +179,11 @@
                 gap = self._gap(most)
                 is_one = self.random.random() * most < asked
                 if is_one and self._is_sent(host, now, bound(now), upstream):
-                    came.append(now + self.random.uniform(0, 0.08))
-            heapq.heappush(events, (now + gap, next(numbers), host, beats))
-        return came
+                    arrivals.append(now + self.random.uniform(0, 0.08))
+            heapq.heappush(
+                events, (now + gap, next(numbers), host, is_heartbeat)
+            )
+        return arrivals
 
     def _gap(self, most: float) -> float:
         return self.random.expovariate(most)
@@ -194,6 +200,6 @@
 
 
 def steady(rate: float) -> Callable[[float], FleetRateLimit]:
-    """Return a limit that stays."""
+    """Return a limit that does not change over time."""
     bound = bound_of(rate)
     return lambda _now: bound
--- a/tests/lib/known_red.py
+++ b/tests/lib/known_red.py
@@ -1,10 +1,10 @@
-"""Tests that are known to fail, listed in `KNOWN-RED.txt`: a pytest plugin.
+"""Pytest plugin for the known failures that `KNOWN-RED.txt` lists.
 
-A listed test is expected to fail and is printed with its cause. One that
-passes while it is listed fails the run, so that the list is never longer than
-what is red, unless its cause says that it fails `at times`. Each line names a
-test, its cause and an issue, with semicolons between; `tests/file.py::name`
-stands for all rows of that test's table.
+A listed test is expected to fail and is printed with its cause. If it passes,
+the run fails, so that no entry outlives its fault; a cause that begins with
+`at times: ` exempts a test that fails in some runs only. Each line holds a
+test, its cause and an issue, separated by semicolons; `tests/file.py::name`
+covers all parameter sets of that test.
 """
 
 from dataclasses import dataclass
@@ -13,21 +13,21 @@
 import pytest
 
 FILE_NAME = 'KNOWN-RED.txt'
-# More would be a list that nobody mends.
+# Keeps the list short enough that its faults get fixed.
 MOST_LISTED = 3
 FIELDS = 3
-# Begin of the cause of a test that fails in some runs only.
+# Prefix of the cause of a test that fails in some runs only.
 AT_TIMES = 'at times: '
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """One line of the list.
+    """An entry of the list.
 
     Attributes:
-        test: The test as pytest names it, with or without its row.
+        test: Node id of the test, with or without its parameter set.
         cause: Why it fails.
-        issue: Where it will be mended.
+        issue: Issue that tracks the fault.
     """
 
     test: str
@@ -35,23 +35,23 @@
     issue: str
 
     def covers(self, node_id: str) -> bool:
-        """Return whether a collected test is meant."""
+        """Return whether a collected test belongs to this entry."""
         return node_id == self.test or node_id.startswith(f'{self.test}[')
 
     @property
     def file_name(self) -> str:
-        """File of the test, from the root."""
+        """Path of the test file, relative to the root."""
         return self.test.partition('::')[0]
 
 
 def read_list(path: Path) -> list[KnownRed]:
-    """Read the list; empty if there is no file.
+    """Read the list; it is empty if there is no file.
 
     Args:
-        path: The file.
+        path: Path of the list.
 
     Raises:
-        pytest.UsageError: A line lacks a field, or there are too many.
+        pytest.UsageError: A line lacks a field, or there are too many lines.
     """
     if not path.exists():
         return []
@@ -78,7 +78,7 @@
     config: pytest.Config,
     items: list[pytest.Item],
 ) -> None:
-    """Expect the listed tests to fail."""
+    """Mark the listed tests as expected failures."""
     listed = read_list(config.rootpath / FILE_NAME)
     for known in listed:
         _check_collected(known, items)
@@ -93,7 +93,7 @@
 
 
 def _check_collected(known: KnownRed, items: list[pytest.Item]) -> None:
-    """Refuse a line whose test has gone, unless its file is not run."""
+    """Reject an entry whose test is missing from a file that was collected."""
     names = [item.nodeid for item in items]
     is_run = any(name.startswith(f'{known.file_name}::') for name in names)
     if is_run and not any(known.covers(name) for name in names):
@@ -107,7 +107,7 @@
     terminalreporter: pytest.TerminalReporter,
     config: pytest.Config,
 ) -> None:
-    """Print the list, so that each run says what is red."""
+    """Print the list, so that each run shows the known failures."""
     for known in read_list(config.rootpath / FILE_NAME):
         terminalreporter.write_line(
             f'KNOWN RED: {known.test}: {known.cause} ({known.issue})',
