--- a/tests/lib/limited_service.py
+++ b/tests/lib/limited_service.py
@@ -1,6 +1,7 @@
-"""A service whose upstreams all name limits, and callers that come back.
+"""Simulates a service of rate-limited upstreams and callers that retry.
 
-Hosts keep to their parts by the product's own code; sockets are left out.
+Hosts apply their shares of the limits with the product's own code; there are
+no sockets.
 """
 
 import heapq
@@ -19,20 +20,20 @@
 
 ZONES = ('z0', 'z1', 'z2')
 KEYS = 400
-# How long a caller goes on.
-PATIENCE = 3.0
+# Time within which a caller wants its response.
+CALLER_TIMEOUT_SECONDS = 3.0
 
 
 @dataclass(frozen=True, order=True)
 class Arrival:
-    """A try of a caller.
+    """An attempt of a caller.
 
     Attributes:
-        at: When.
-        number: Breaks ties.
-        began: When its first try was.
-        key: What it concerns.
-        tries: Tries before this one.
+        at: When it arrives, in seconds.
+        number: Breaks ties in the order of arrivals.
+        began: When the first attempt of its caller arrived, in seconds.
+        key: Affinity key.
+        tries: Number of attempts before this one.
     """
 
     at: float
@@ -44,14 +45,14 @@
 
 @dataclass
 class Served:
-    """What callers got.
+    """Results of the callers.
 
     Attributes:
-        first: Served at the first try.
-        later: Served when they came back.
-        refused: Not served.
-        tries: Tries of all of them.
-        came: When requests came to each upstream.
+        first: Callers served at the first attempt.
+        later: Callers served at a retry.
+        refused: Callers not served.
+        tries: Attempts of all callers.
+        came: Times at which requests arrived, by upstream.
     """
 
     first: int = 0
@@ -62,12 +63,12 @@
 
     @property
     def all(self) -> int:
-        """Callers in all."""
+        """Number of all callers."""
         return self.first + self.later + self.refused
 
 
 class LimitedService:
-    """Hosts, two a zone, and upstreams that each name a limit."""
+    """Hosts in three zones, and upstreams that may announce limits."""
 
     def __init__(
         self,
@@ -102,7 +103,7 @@
         view = LoadView(
             name,
             zone,
-            {one: 10.0 for one, at in names if at == zone},
+            {peer: 10.0 for peer, at in names if at == zone},
             dict.fromkeys(ZONES, 10.0 * len(names) / len(ZONES)),
             dict.fromkeys(ZONES, 'r'),
             is_settled=True,
@@ -115,12 +116,13 @@
         seconds: float,
         fixed_wait: float | None = None,
     ) -> Served:
-        """Play callers and return what they got.
+        """Simulate callers and return their results.
 
         Args:
-            rate: New callers a second at a time.
-            seconds: For how long new ones come.
-            fixed_wait: What all are told to wait, in place of the product's.
+            rate: Returns the new callers per second at a time.
+            seconds: Duration for which new callers arrive.
+            fixed_wait: Seconds until a retry for all callers; computed by the
+                product if not given.
         """
         numbers = count()
         arrivals: list[Arrival] = []
@@ -132,48 +134,52 @@
         heapq.heapify(arrivals)
         served = Served()
         while arrivals:
-            one = heapq.heappop(arrivals)
+            arrival = heapq.heappop(arrivals)
             served.tries += 1
             host = self.random.choice(self.hosts)
-            name = host.place(self.upstreams, one)
+            name = host.choose_upstream(self.upstreams, arrival)
             if name is not None:
-                served.came.setdefault(name, []).append(one.at)
-                if one.tries:
+                served.came.setdefault(name, []).append(arrival.at)
+                if arrival.tries:
                     served.later += 1
                 else:
                     served.first += 1
                 continue
-            left = one.began + PATIENCE - one.at
+            left = arrival.began + CALLER_TIMEOUT_SECONDS - arrival.at
             wait = fixed_wait
             if wait is None:
                 wait = host.sends.wait(
                     self.upstreams,
                     len(self.hosts),
                     left,
-                    one.at,
+                    arrival.at,
                 )
-            if one.tries or wait >= left:
+            if arrival.tries or wait >= left:
                 served.refused += 1
                 continue
             wait = min(wait, left * MAX_WAIT_FRACTION)
-            again = replace(one, at=one.at + wait, tries=1)
-            heapq.heappush(arrivals, again)
+            retry = replace(arrival, at=arrival.at + wait, tries=1)
+            heapq.heappush(arrivals, retry)
         return served
 
 
 class ServiceHost:
-    """One host with its parts of the limits."""
+    """A host with its shares of the limits."""
 
     def __init__(self, view: LoadView) -> None:
         self.table = LimitTable(lambda: 0.0)
         self.sends = LimitedSends(self.table, lambda: view)
 
-    def place(self, upstreams: list[Upstream], one: Arrival) -> str | None:
-        """Send a try to the first upstream that takes it."""
+    def choose_upstream(
+        self,
+        upstreams: list[Upstream],
+        arrival: Arrival,
+    ) -> str | None:
+        """Choose the first upstream that may get an attempt, and count it."""
         by_name = {upstream.name: upstream for upstream in upstreams}
-        places = [WeightedUpstream(name, 1.0) for name in by_name]
-        ranked = [by_name[name] for name in rank(one.key, places)]
-        due = [each for each in ranked if self.sends.may_send(each, one.at)]
+        candidates = [WeightedUpstream(name, 1.0) for name in by_name]
+        ranked = [by_name[name] for name in rank(arrival.key, candidates)]
+        due = [each for each in ranked if self.sends.may_send(each, arrival.at)]
         if not due:
             return None
         self.sends.take(due[0])
--- a/tests/lib/logs.py
+++ b/tests/lib/logs.py
@@ -1,4 +1,4 @@
-"""Log lines of the code under test."""
+"""Capture of log lines."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -8,7 +8,7 @@
 
 @contextmanager
 def logged() -> Iterator[list[str]]:
-    """Collect the log lines that are written meanwhile."""
+    """Collect the messages that are logged inside the block."""
     written: list[str] = []
     sink = logger.add(written.append, format='{message}')
     try:
--- a/tests/lib/news.py
+++ b/tests/lib/news.py
@@ -1,4 +1,4 @@
-"""Hosts that each have a way of their own to the store, and what they know."""
+"""A fleet whose gateways each reach the store through a proxy."""
 
 import asyncio
 import time
@@ -20,15 +20,15 @@
 
 HOSTS = 6
 UPSTREAMS = 4
-# For what a change of a revision brings about to be over.
+# Enough for the gateways to finish what a change of the revision starts.
 SETTLE_SECONDS = 0.05
 
 
 def bounds_of(news_seconds: float) -> Bounds:
-    """Return bounds of a deployment.
+    """Return the bounds of a deployment.
 
     Args:
-        news_seconds: Time for news to be in force.
+        news_seconds: Time within which a change has to be in force.
     """
     return Bounds(
         drain_seconds=news_seconds,
@@ -43,38 +43,39 @@
     """Gateways behind proxies to the store.
 
     Attributes:
-        proxies: The way of each gateway to the store.
+        proxies: Proxy between each gateway and the store.
     """
 
     proxies: list[Proxy] = field(default_factory=list)
 
     @property
     def sentinels(self) -> list[GatewayHost]:
-        """The gateways that watch the store closely for all."""
+        """The gateways that are sentinels."""
         return [host for host in self.hosts if host.is_sentinel]
 
     def proxies_of(self, hosts: Iterable[GatewayHost]) -> list[Proxy]:
-        """Return the ways of some gateways to the store."""
+        """Return the proxies between some gateways and the store."""
         return [self.proxies[self.hosts.index(host)] for host in hosts]
 
     async def begin_watches(self) -> None:
-        """Have all watches of the sentinels begin at this moment.
+        """Renew all watches of the sentinels.
 
-        What happens right after it waits for the longest time.
+        A fault right after it affects watches that have their whole wait
+        ahead of them, which is the worst case.
         """
         await until(lambda: len(self.sentinels) == 2)
         for host in self.hosts:
-            # At the start each was a sentinel for a moment, and began a watch.
+            # Each host was a sentinel briefly at its start and began a watch.
             if not host.is_sentinel:
                 host.sync.upstreams.drop_watch()
         self.store.put('evacuations', 'elsewhere', {})
-        await self._read_by_sentinels()
+        await self._wait_for_sentinels()
         self.store.delete('evacuations', 'elsewhere')
-        await self._read_by_sentinels()
-        # Their other watches are renewed, since the revision has changed.
+        await self._wait_for_sentinels()
+        # The change of the revision also renews their other watches.
         await asyncio.sleep(LAG_SECONDS + SETTLE_SECONDS)
 
-    async def _read_by_sentinels(self) -> None:
+    async def _wait_for_sentinels(self) -> None:
         number = self.store.revision
         await until(
             lambda: all(
@@ -84,41 +85,45 @@
         )
 
     def let_leave(self, name: str) -> None:
-        """Have an upstream say in the store that it drains."""
+        """Mark an upstream as draining in the store."""
         known = self.store.kind('servers').objects[name]
-        self.store.put('servers', name, _as_draining(known['spec']))
+        self.store.put('servers', name, _draining_spec(known['spec']))
 
 
 def uses(host: GatewayHost, name: str) -> bool:
-    """Return whether a gateway would send to an upstream."""
+    """Return whether a gateway may send to an upstream."""
     known = host.local_state.catalog.of_service('views')
     return any(upstream.name == name for upstream in known)
 
 
-def lose_share(radio: HeartbeatEndpoint, random: Random, share: float) -> None:
-    """Have datagrams of a gateway lost.
+def lose_share(
+    endpoint: HeartbeatEndpoint,
+    random: Random,
+    share: float,
+) -> None:
+    """Drop some datagrams of a gateway.
 
     Args:
-        radio: What sends them.
-        random: Draws which are lost.
-        share: How many of them.
+        endpoint: Endpoint that sends them.
+        random: Determines which are dropped.
+        share: Share of dropped datagrams.
     """
-    send = radio._send_bytes
+    send = endpoint._send_bytes
 
     def send_some(address: str, datagram: bytes) -> None:
         if random.random() >= share:
             send(address, datagram)
 
-    radio._send_bytes = send_some  # type: ignore[method-assign]
+    endpoint._send_bytes = send_some  # type: ignore[method-assign]
 
 
-def _as_draining(spec: object) -> dict[str, object]:
+def _draining_spec(spec: object) -> dict[str, object]:
     assert isinstance(spec, dict)
     return {**spec, 'status': {**spec['status'], 'state': 'draining'}}
 
 
 async def seconds_until(is_true: Callable[[], bool]) -> float:
-    """Return how long a condition takes to hold."""
+    """Wait for a condition and return how long that took."""
     began_at = time.monotonic()
     await until(is_true)
     return time.monotonic() - began_at
@@ -129,11 +134,11 @@
     bounds: Bounds,
     size: int = HOSTS,
 ) -> AsyncIterator[NewsFleet]:
-    """Run gateways that know each other and all upstreams.
+    """Run gateways until they know each other and all upstreams, and stop them.
 
     Args:
-        bounds: What the gateways are held to.
-        size: How many gateways.
+        bounds: Bounds of the gateways.
+        size: Number of gateways.
     """
     upstreams = [UpstreamStandin(f'i-{number}') for number in range(UPSTREAMS)]
     fleet = NewsFleet(bounds=bounds, upstreams=upstreams)
--- a/tests/lib/organisations.py
+++ b/tests/lib/organisations.py
@@ -1,4 +1,4 @@
-"""Organisations of a configuration for tests."""
+"""Sample organisations for tests."""
 
 from wardstair.version.organisations import (
     Organisation,
--- a/tests/lib/paused_service.py
+++ b/tests/lib/paused_service.py
@@ -1,6 +1,6 @@
-"""A service whose upstreams all pause, and callers that come back once.
+"""Simulates a service whose upstreams all pause, and callers that retry once.
 
-Sockets and the choice of an upstream are left out: the slots are one pool.
+There are no sockets and no choice of an upstream: all slots form one pool.
 """
 
 import heapq
@@ -12,11 +12,12 @@
 
 from wardstair.gateway.limited_sends import MAX_WAIT_FRACTION
 
-# How long a caller goes on, and within what it wants its answer.
-PATIENCE = 3.0
-AIM = 0.5
-# What a caller is told that finds no room after the pause.
-OVERLOADED_WAIT = 0.4
+# Time after which a caller gives up, and time within which it wants its answer.
+CALLER_TIMEOUT_SECONDS = 3.0
+OBJECTIVE_SECONDS = 0.5
+# Seconds until a retry for a caller that finds the queue full.
+OVERLOADED_WAIT_SECONDS = 0.4
+# Capacity of the queue, as a share of the slots.
 QUEUE_SHARE = 1 / 3
 
 
@@ -25,10 +26,10 @@
     """An attempt of a caller.
 
     Attributes:
-        at: When.
-        number: Breaks ties.
-        began: When its first attempt was.
-        is_first: Whether this is it.
+        at: When it arrives, in seconds.
+        number: Breaks ties in the order of arrivals.
+        began: When the first attempt of its caller arrived, in seconds.
+        is_first: Whether this is the first attempt.
     """
 
     at: float
@@ -39,12 +40,13 @@
 
 @dataclass
 class Outcome:
-    """What callers got.
+    """Results of the callers.
 
     Attributes:
-        in_aim: Answered within their aim, from the first attempt on.
-        late: Answered later.
-        lost: Not answered.
+        in_aim: Callers answered within the objective, counted from the first
+            attempt.
+        late: Callers answered later.
+        lost: Callers not answered in time.
     """
 
     in_aim: int = 0
@@ -53,20 +55,20 @@
 
     @property
     def all(self) -> int:
-        """Callers in all."""
+        """Number of all callers."""
         return self.in_aim + self.late + self.lost
 
 
 @dataclass
 class PausedService:
-    """One pool of slots that takes nothing during a pause.
+    """A pool of slots that accepts nothing during a pause.
 
     Attributes:
-        rate: New callers a second.
-        slots: Requests that it works on at once.
-        work: Mean seconds of work.
-        pause: Length of the pause in seconds.
-        seed: Draws callers and work.
+        rate: New callers per second.
+        slots: Number of requests processed at once.
+        work: Mean processing time of a request, in seconds.
+        pause: Length of the pause, in seconds.
+        seed: Seed of arrivals and processing times.
     """
 
     rate: float
@@ -75,7 +77,7 @@
     pause: float
     seed: int
     _random: Random = field(init=False)
-    # Ends of work, with the first attempts of its callers.
+    # End of processing and time of the first attempt, for each request.
     _running: list[tuple[float, float]] = field(default_factory=list)
     _waiting: deque[float] = field(default_factory=deque)
 
@@ -85,13 +87,13 @@
         begin: float = 2.0,
         seconds: float = 8.0,
     ) -> Outcome:
-        """Play callers and return what they got.
+        """Simulate callers and return their results.
 
         Args:
-            return_after: Returns what a caller is told, by the seconds that
-                are left of the pause.
-            begin: When the pause begins.
-            seconds: For how long new callers come.
+            return_after: Returns the seconds until a retry that a caller
+                receives, by the remaining seconds of the pause.
+            begin: When the pause begins, in seconds.
+            seconds: Duration for which new callers arrive.
         """
         self._random = Random(self.seed)
         numbers = count()
@@ -102,10 +104,10 @@
         outcome = Outcome()
         while attempts:
             one = heapq.heappop(attempts)
-            self._work_until(one.at, outcome)
+            self._advance_to(one.at, outcome)
             left = begin + self.pause - one.at
             if one.at < begin or left <= 0:
-                wait = self._take(one)
+                wait = self._accept(one)
             else:
                 wait = return_after(left)
             if wait is None:
@@ -113,11 +115,13 @@
             if not one.is_first:
                 outcome.lost += 1
                 continue
-            heeded = (one.began + PATIENCE - one.at) * MAX_WAIT_FRACTION
-            at = one.at + min(wait, heeded)
-            again = replace(one, at=at, number=next(numbers), is_first=False)
-            heapq.heappush(attempts, again)
-        self._work_until(float('inf'), outcome)
+            max_wait = (
+                one.began + CALLER_TIMEOUT_SECONDS - one.at
+            ) * MAX_WAIT_FRACTION
+            at = one.at + min(wait, max_wait)
+            retry = replace(one, at=at, number=next(numbers), is_first=False)
+            heapq.heappush(attempts, retry)
+        self._advance_to(float('inf'), outcome)
         return outcome
 
     def _arrivals(self, seconds: float) -> list[float]:
@@ -128,27 +132,27 @@
             now += self._random.expovariate(self.rate)
         return times
 
-    def _take(self, one: Attempt) -> float | None:
-        """Take an attempt in; return what its caller is told if it is full."""
+    def _accept(self, one: Attempt) -> float | None:
+        """Start or queue an attempt; return the wait if the queue is full."""
         if len(self._running) < self.slots:
             self._start(one.began, one.at)
             return None
         if len(self._waiting) < self.slots * QUEUE_SHARE:
             self._waiting.append(one.began)
             return None
-        return OVERLOADED_WAIT
+        return OVERLOADED_WAIT_SECONDS
 
     def _start(self, began: float, now: float) -> None:
         end = now + self._random.expovariate(1 / self.work)
         heapq.heappush(self._running, (end, began))
 
-    def _work_until(self, now: float, outcome: Outcome) -> None:
-        """End the work that is done by then, and start what waits."""
+    def _advance_to(self, now: float, outcome: Outcome) -> None:
+        """Finish requests that end until a time, and start queued ones."""
         while self._running and self._running[0][0] <= now:
             end, began = heapq.heappop(self._running)
-            if end - began <= AIM:
+            if end - began <= OBJECTIVE_SECONDS:
                 outcome.in_aim += 1
-            elif end - began <= PATIENCE:
+            elif end - began <= CALLER_TIMEOUT_SECONDS:
                 outcome.late += 1
             else:
                 outcome.lost += 1
--- a/tests/lib/quota_load.py
+++ b/tests/lib/quota_load.py
@@ -32,7 +32,7 @@
 
 
 def bound_of(quota: Quota) -> QuotaBound:
-    """Return the bound of a quota under `BOUNDS`."""
+    """Return the bound of a quota according to `BOUNDS`."""
     return QuotaBound(
         quota.rate,
         quota.burst,
@@ -55,7 +55,7 @@
 
 @dataclass
 class Division:
-    """Gives each host an equal part of the quota, whatever its demand."""
+    """Gives each host an equal part of the quota, regardless of demand."""
 
     quota: Quota
     hosts: int
@@ -264,9 +264,9 @@
 
 def _poisson(mean: float, random: Random) -> int:
     """Return a Poisson-distributed number of arrivals."""
-    count = 0
-    left = random.expovariate(1)
-    while left < mean:
-        count += 1
-        left += random.expovariate(1)
-    return count
+    arrivals = 0
+    remaining = random.expovariate(1)
+    while remaining < mean:
+        arrivals += 1
+        remaining += random.expovariate(1)
+    return arrivals
--- a/tests/lib/rig.py
+++ b/tests/lib/rig.py
@@ -1,4 +1,4 @@
-"""A store, upstreams and one gateway in this process, and its callers."""
+"""One gateway with a store and upstreams in the test process, and callers."""
 
 import asyncio
 import os
@@ -19,10 +19,10 @@
 
 
 def own_address() -> str:
-    """Return a loopback address that nothing else in this run uses.
+    """Return a loopback address that nothing else in this test run uses.
 
-    A port that was free on 127.0.0.1 may be taken a moment later by an
-    outgoing connection; on an address of its own it stays free.
+    On 127.0.0.1 an outgoing connection may take a port between its choice and
+    its use; on a separate address the port stays free.
     """
     number = next(_addresses)
     high, low = divmod(number, 250)
@@ -30,10 +30,10 @@
 
 
 def free_ports(amount: int) -> list[int]:
-    """Return different ports that are free now."""
-    held = [bind_sockets(0, ADDRESS)[0] for _ in range(amount)]
-    ports = [int(one.getsockname()[1]) for one in held]
-    for one in held:
+    """Return distinct ports that are free at the moment."""
+    sockets = [bind_sockets(0, ADDRESS)[0] for _ in range(amount)]
+    ports = [int(one.getsockname()[1]) for one in sockets]
+    for one in sockets:
         one.close()
     return ports
 
@@ -48,8 +48,8 @@
     address = own_address()
     *ports, own_port = free_ports(6)
     while fleet_port in ports:
-        # The fleet's port was let go, and the system has handed it out again:
-        # this host would listen on it twice.
+        # The fleet's port was released after its choice, so the system may
+        # return it again, and this host would listen on it twice.
         *ports, own_port = free_ports(6)
     fleet = fleet_port or own_port
     return GatewaySettings(
@@ -73,7 +73,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got; status 0 if the connection ended before."""
+    """Response to a caller; status 0 if the connection closed first."""
 
     status: int
     headers: dict[str, str]
@@ -81,15 +81,15 @@
 
 
 async def until(is_true: Callable[[], bool]) -> None:
-    """Wait for a condition; the bound only ends a test that has failed."""
+    """Wait for a condition; the timeout only ends a test that has failed."""
     async with asyncio.timeout(20):
-        # Conditions of many parts; none has an event of its own.
+        # Polls, since the conditions combine state that has no event.
         while not is_true():  # noqa: ASYNC110
             await asyncio.sleep(0.01)
 
 
 class Rig:
-    """A store, upstreams and one gateway, all in this process."""
+    """A store, upstreams and one gateway, all in the test process."""
 
     def __init__(
         self,
@@ -115,7 +115,7 @@
             self.store.put('servers', upstream.name, entry)
         settings = gateway_settings(self.store.port, bounds=self._bounds)
         self._gateway = GatewayHost(settings, Random(7))
-        # It is alone, knows that and need not wait for others.
+        # Register it as the only host, so that it does not wait for others.
         self._gateway.views.settle_seconds = 0
         self._gateway.members.note_registry({settings.name})
         self._gateway.views.refresh()
@@ -145,7 +145,7 @@
         request_id: str = 'r1',
         **fields: str,
     ) -> Answer:
-        """Send one request on a connection of its own."""
+        """Send one request on a new connection."""
         caller = await Caller.connect(self)
         try:
             return await caller.ask(target, method, body, request_id, **fields)
@@ -154,7 +154,7 @@
 
 
 class Caller:
-    """One kept connection of a caller."""
+    """A persistent connection of a caller."""
 
     def __init__(
         self,
--- a/tests/lib/routes.py
+++ b/tests/lib/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the configuration for tests of what follows from them."""
+"""Sample routes of the configuration for tests."""
 
 from collections.abc import Mapping
 
@@ -14,7 +14,7 @@
     name: str = 'read',
     regions: frozenset[str] = frozenset(),
 ) -> SteeredRoute:
-    """Return a route that is divided by weights."""
+    """Return a route that is split between services by weight."""
     return SteeredRoute(
         name=name,
         host='music.example',
--- a/tests/lib/running.py
+++ b/tests/lib/running.py
@@ -1,4 +1,4 @@
-"""Runs a small deployment for one test."""
+"""Runs a small deployment inside a test."""
 
 import asyncio
 import json
@@ -20,10 +20,10 @@
 
 
 class Trial:
-    """A running deployment with a caller."""
+    """A running deployment with a client."""
 
     def __init__(self, deployment: Deployment) -> None:
-        """Make a caller of a deployment."""
+        """Create a client for a deployment."""
         self.deployment = deployment
         self.client = SimpleAsyncHTTPClient(
             force_instance=True,
@@ -37,7 +37,7 @@
         path: str,
         **options: Any,
     ) -> HTTPResponse:
-        """Send a request to a host's callers' listener."""
+        """Send a request to the listener of a host for callers."""
         return await self.client.fetch(
             HTTPRequest(
                 self.deployment.url(host, path),
@@ -54,7 +54,7 @@
         key: str,
         body: str = 'copies=1',
     ) -> HTTPResponse:
-        """Send a print order with a key."""
+        """Send an order with an idempotency key."""
         headers = {'Idempotency-Key': key}
         return await self.send(
             host,
@@ -65,12 +65,12 @@
         )
 
     async def new_key(self, host: str, workload: str = 'orders') -> str:
-        """Look up a key."""
+        """Return an idempotency key from a lookup."""
         answer = await self.lookup(host, workload)
         return str(answer['key'])
 
     async def lookup(self, host: str, workload: str) -> dict[str, Any]:
-        """Look up where to go."""
+        """Return the answer to a lookup for a workload."""
         path = f'/v1/lookup?workload={workload}'
         response = await self.send(host, 'GET', path)
         assert response.code == 200, response.body
@@ -79,18 +79,18 @@
 
 
 def kind_of(response: HTTPResponse) -> str:
-    """Return the kind of a refusal."""
+    """Return the kind of a refusal from its problem document."""
     return str(json.loads(response.body)['type'].rsplit(':', 1)[-1])
 
 
 def record_versions(host: EntryHost) -> list[int]:
-    """Return a list that gets each version that a host adopts from now."""
+    """Return a list that collects the versions a host adopts from now on."""
     adopted: list[int] = []
-    bring_into_force = host.configuration.on_adopt
+    original_on_adopt = host.configuration.on_adopt
 
     def adopt(topology: Topology) -> None:
         adopted.append(topology.version)
-        bring_into_force(topology)
+        original_on_adopt(topology)
 
     host.configuration.on_adopt = adopt
     return adopted
@@ -108,7 +108,7 @@
 
 @asynccontextmanager
 async def started(document: SteeringDocument) -> AsyncIterator[Trial]:
-    """Run a deployment inside a block."""
+    """Run a deployment for the duration of the block."""
     deployment = Deployment(document)
     trial = Trial(deployment)
     try:
--- a/tests/lib/specs.py
+++ b/tests/lib/specs.py
@@ -1,4 +1,4 @@
-"""Objects as the municipal platform's store keeps them, for tests."""
+"""Sample specs of objects in the platform's store."""
 
 ADDRESS = '127.0.0.1'
 Stored = dict[str, object]
@@ -10,7 +10,7 @@
     zone: str = 'north-a',
     **status: object,
 ) -> Stored:
-    """Return the object by which an upstream registers itself."""
+    """Return the spec by which an upstream registers."""
     return {
         'address': f'{ADDRESS}:{port}',
         'info': {'service': service, 'version': 'v1', 'zone': zone, 'slots': 4},
@@ -41,7 +41,7 @@
 
 
 def configuration_spec(version: int, **routes: Stored) -> Stored:
-    """Return a configuration; by default one route of each kind."""
+    """Return a configuration, by default with one route of each kind."""
     service = {'health_path': '/healthz', 'max_conns': 100, 'cold_start_s': 3.0}
     service['cold_per_s'] = 10.0
     return {
