--- a/tests/lib/store_standin.py
+++ b/tests/lib/store_standin.py
@@ -1,6 +1,6 @@
-"""The municipal platform's store in memory, for tests.
+"""Stand-in for the platform's store, which keeps its objects in memory.
 
-It keeps objects by kind with revisions and waiting watches.
+It serves objects by kind, with revisions and long-polling watches.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 @dataclass
 class StoredKind:
-    """Objects and history of one kind."""
+    """Objects and change history of one kind."""
 
     objects: dict[str, Stored] = field(default_factory=dict)
     history: list[tuple[int, Stored, bool]] = field(default_factory=list)
@@ -26,26 +26,26 @@
 
 @dataclass(frozen=True)
 class StoreCopy:
-    """The store as it was at a moment."""
+    """Copy of the store at one moment."""
 
     revision: int
     kinds: dict[str, StoredKind]
 
 
 class StoreStandin:
-    """The platform's store in memory."""
+    """An HTTP server with the interface of the platform's store."""
 
     def __init__(self) -> None:
         self.revision = 0
-        # Rises each time that the store comes back from a copy.
+        # Increases with each restore from a copy.
         self.era = 1
         self.kinds: dict[str, StoredKind] = {}
         self.calls: list[str] = []
         self.status: int | None = None
-        self.silenced = 0
+        self.last_silenced_call = 0
         self.is_stopped = False
-        self.is_cutting = False
-        # Whether writes are answered without the object.
+        self.is_ending_watches = False
+        # Whether answers to writes lack the object.
         self.hides_written = False
         self.changed = asyncio.Event()
         self.port = 0
@@ -55,7 +55,7 @@
         sockets = bind_sockets(0, ADDRESS)
         self.port = sockets[0].getsockname()[1]
         handler = (r'/objects/([^/]+)(?:/([^/]+))?', _Handler, {'store': self})
-        application = Application([handler], log_function=_silent)
+        application = Application([handler], log_function=_skip_access_log)
         self._server = HTTPServer(application)
         self._server.add_sockets(sockets)
 
@@ -70,7 +70,7 @@
         return self.kinds.setdefault(name, StoredKind())
 
     def put(self, kind: str, name: str, spec: object) -> None:
-        """Write an object as the operator or an upstream does."""
+        """Write an object as an operator or an upstream does."""
         self.revision += 1
         stored: Stored = {
             'metadata': {'name': name, 'revision': self.revision},
@@ -95,13 +95,14 @@
         self._wake()
 
     def copy(self) -> StoreCopy:
-        """Return a copy to come back from."""
+        """Return a copy that `restore` accepts."""
         return StoreCopy(self.revision, deepcopy(self.kinds))
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: what was written since is gone.
+        """Replace all objects by those of a copy; later writes are lost.
 
-        Revisions go back and are given out again. Watches that wait end.
+        The revision goes back to that of the copy, so revisions are assigned a
+        second time. Waiting watches end.
         """
         self.era += 1
         self.revision = copy.revision
@@ -109,19 +110,19 @@
         self.cut_watches()
 
     def silence_watches(self) -> None:
-        """Let every watch that waits now hang for good."""
-        self.silenced = len(self.calls)
+        """Never answer the watches that wait now."""
+        self.last_silenced_call = len(self.calls)
 
     def cut_watches(self) -> None:
-        """End every waiting watch with an error."""
+        """End all waiting watches with an error."""
         self.status = 503
-        self.is_cutting = True
+        self.is_ending_watches = True
         self._wake()
-        asyncio.get_running_loop().call_later(0.05, self._serve_again)
+        asyncio.get_running_loop().call_later(0.05, self._end_failure)
 
-    def _serve_again(self) -> None:
+    def _end_failure(self) -> None:
         self.status = None
-        self.is_cutting = False
+        self.is_ending_watches = False
 
     def events(self, kind: str, after: int) -> list[Stored]:
         return [
@@ -175,7 +176,7 @@
             left = end - asyncio.get_running_loop().time()
             if left <= 0:
                 break
-            if store.is_stopped or store.is_cutting:
+            if store.is_stopped or store.is_ending_watches:
                 break
             changed = store.changed
             try:
@@ -183,7 +184,7 @@
                     await changed.wait()
             except TimeoutError:
                 break
-        if number <= store.silenced:
+        if number <= store.last_silenced_call:
             await asyncio.Event().wait()
         if store.status is not None:
             self.set_status(store.status)
@@ -209,7 +210,7 @@
         document = json.loads(self.request.body)
         held = self._store.kind(kind).objects.get(name)
         revision = document.get('metadata', {}).get('revision')
-        if revision is not None and not _is_at(held, revision):
+        if revision is not None and not _has_revision(held, revision):
             self.set_status(409)
             self.finish(json.dumps(held))
             return
@@ -223,7 +224,7 @@
             self.set_status(404)
             return
         revision = self.get_argument('revision', None)
-        if revision is not None and not _is_at(held, int(revision)):
+        if revision is not None and not _has_revision(held, int(revision)):
             self.set_status(409)
             self.finish(json.dumps(held))
             return
@@ -237,10 +238,10 @@
         self.finish(json.dumps(self._store.kind(kind).objects[name]))
 
 
-def _is_at(held: Stored | None, revision: int) -> bool:
+def _has_revision(held: Stored | None, revision: int) -> bool:
     metadata = None if held is None else held['metadata']
     return isinstance(metadata, dict) and metadata['revision'] == revision
 
 
-def _silent(_handler: RequestHandler) -> None:
-    """No access log."""
+def _skip_access_log(_handler: RequestHandler) -> None:
+    """Write no access log."""
--- a/tests/lib/template.py
+++ b/tests/lib/template.py
@@ -1,4 +1,4 @@
-"""Fills the settings template of a gateway as the platform does."""
+"""Renders the settings template of a gateway as the platform does."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -29,18 +29,18 @@
 
 @dataclass(frozen=True)
 class _Entry:
-    """One entry of a list or table, as a section of the template sees it."""
+    """An entry of a list or table in the context of a template section."""
 
     key: str
     text: str
     is_last: bool
 
     def __str__(self) -> str:
-        """Return the entry itself."""
+        """Return the text of the entry."""
         return self.text
 
     def __getitem__(self, name: str) -> str:
-        """Return the entry's key or the comma behind it."""
+        """Return the key of the entry, or the comma after it."""
         match name:
             case '@':
                 return self.key
@@ -51,7 +51,7 @@
 
 
 def entries(given: Mapping[str, object] | Sequence[object]) -> list[_Entry]:
-    """Return what a section runs over; a list is keyed by its numbers."""
+    """Return the entries of a section; in a list the index is the key."""
     if isinstance(given, Mapping):
         pairs = [(key, str(one)) for key, one in given.items()]
     else:
@@ -64,7 +64,7 @@
 
 
 def fields(**changed: Field) -> Fields:
-    """Return the fields that the platform fills in, some of them changed."""
+    """Return the fields that the platform fills in, with some replaced."""
     return {
         'node_name': 'edge-1',
         'ip': '10.0.0.1',
@@ -93,5 +93,5 @@
 
 
 def filled(**changed: Field) -> str:
-    """Return the template filled with fields, some of them changed."""
+    """Return the rendered template, with some fields replaced."""
     return chevron.render(TEMPLATE.read_text(), fields(**changed))
--- a/tests/lib/upstream_standin.py
+++ b/tests/lib/upstream_standin.py
@@ -1,4 +1,4 @@
-"""An upstream that answers each request as its script says, byte by byte."""
+"""Stand-in for an upstream, whose script writes the bytes of each answer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,7 +9,7 @@
 
 @dataclass
 class Seen:
-    """A request as an upstream saw it."""
+    """A request as received by an upstream."""
 
     head: str
     body: bytes
@@ -36,7 +36,7 @@
 
 
 class UpstreamStandin:
-    """An upstream that answers by a script."""
+    """An upstream that answers each request with its script."""
 
     def __init__(self, name: str, script: Script | None = None) -> None:
         self.name = name
@@ -60,7 +60,7 @@
             writer.transport.abort()
 
     def refuse(self) -> None:
-        """Take no new connections; those that are open stay."""
+        """Refuse new connections; open ones stay open."""
         assert self._server is not None
         self._server.close()
 
@@ -79,7 +79,7 @@
                 answering = asyncio.ensure_future(
                     self.script(self, seen, writer),
                 )
-                watching = asyncio.ensure_future(_closed(reader))
+                watching = asyncio.ensure_future(_wait_closed(reader))
                 await asyncio.wait(
                     (answering, watching),
                     return_when=asyncio.FIRST_COMPLETED,
@@ -97,8 +97,8 @@
             writer.close()
 
 
-async def _closed(reader: asyncio.StreamReader) -> None:
-    # Reading would take bytes of the next request.
+async def _wait_closed(reader: asyncio.StreamReader) -> None:
+    # Polls, since a read would consume bytes of the next request.
     while not reader.at_eof():  # noqa: ASYNC110
         await asyncio.sleep(0.005)
 
@@ -117,7 +117,7 @@
     status: str = '200 OK',
     extra: str = 'Wardstair-Server-Seal: s.1\r\n',
 ) -> bytes:
-    """Return the bytes of an answer as an upstream makes it."""
+    """Return the bytes of a complete answer."""
     head = (
         f'HTTP/1.1 {status}\r\nWardstair-Attempt-Id: {request_id}\r\n'
         f'{extra}Content-Length: {len(body)}\r\n\r\n'
@@ -140,7 +140,7 @@
     seen: Seen,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Turn the request away without running it."""
+    """Refuse the request without executing it."""
     writer.write(
         whole_answer(
             seen.request_id,
@@ -157,5 +157,5 @@
     _seen: Seen,
     _writer: asyncio.StreamWriter,
 ) -> None:
-    """Work without end."""
+    """Never answer the request."""
     await asyncio.Event().wait()
--- a/tests/lib/upstreams.py
+++ b/tests/lib/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstream entries and a clock for tests of what a host believes."""
+"""An upstream entry and a clock for tests of the local state."""
 
 from wardstair.state.entries import UpstreamEntry, UpstreamPhase
 
@@ -15,7 +15,7 @@
 
 
 class Clock:
-    """Time that a test moves."""
+    """Clock that a test advances."""
 
     def __init__(self) -> None:
         self.now = 100.0
--- a/tests/lib/virtual_time.py
+++ b/tests/lib/virtual_time.py
@@ -9,15 +9,15 @@
 from contextvars import ContextVar
 from typing import TypeVar
 
-Played = TypeVar('Played')
-# Not zero: code that takes 0.0 for "never" must not look right by chance.
+Returned = TypeVar('Returned')
+# Not zero, so that code that confuses 0.0 with "never" fails.
 FIRST_SECOND = 1000.0
-# The played process that a callback or a task belongs to.
+# The simulated process that a callback or a task belongs to.
 PROCESS: ContextVar[str] = ContextVar('played process', default='')
 
 
 class _JumpSelector(selectors.DefaultSelector):
-    """Moves the clock on by the time that it would have waited."""
+    """Advances the clock by the timeout instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -29,19 +29,19 @@
     ) -> list[tuple[selectors.SelectorKey, int]]:
         ready = super().select(0)
         if timeout is None and not ready:
-            raise RuntimeError('all tasks wait, and no timer is set')
+            raise RuntimeError('deadlock: all tasks wait and no timer is set')
         if timeout and timeout > 0 and not ready:
             self.now += timeout
         return ready
 
 
-class _Ready(deque[asyncio.Handle]):
-    """What is to be run; that of processes that stand still waits."""
+class _ReadyQueue(deque[asyncio.Handle]):
+    """Queue of handles to run; holds back those of frozen processes."""
 
-    def __init__(self, skipped: asyncio.Handle) -> None:
+    def __init__(self, no_op: asyncio.Handle) -> None:
         super().__init__()
         self.held: dict[str, list[asyncio.Handle]] = {}
-        self._skipped = skipped
+        self._no_op = no_op
 
     def popleft(self) -> asyncio.Handle:
         handle = super().popleft()
@@ -51,40 +51,40 @@
         if process not in self.held:
             return handle
         self.held[process].append(handle)
-        return self._skipped
+        return self._no_op
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop without waiting; nothing outside the process can take part."""
+    """An event loop in virtual time, without input from other processes."""
 
     def __init__(self) -> None:
-        """Begin at `FIRST_SECOND`."""
-        self._jumping = _JumpSelector()
-        super().__init__(self._jumping)
-        skipped = asyncio.Handle(_do_nothing, (), self)
-        skipped.cancel()
-        self._ready = _Ready(skipped)
+        """Start the clock at `FIRST_SECOND`."""
+        self._jump_selector = _JumpSelector()
+        super().__init__(self._jump_selector)
+        no_op = asyncio.Handle(_do_nothing, (), self)
+        no_op.cancel()
+        self._ready = _ReadyQueue(no_op)
 
     def freeze(self, process: str) -> None:
-        """Have all that a process does wait, its timers included."""
+        """Hold back all callbacks of a simulated process, timers included."""
         self._ready.held.setdefault(process, [])
 
     def thaw(self, process: str) -> None:
-        """Have a process go on with what has waited."""
+        """Resume a frozen process and queue the callbacks held back."""
         self._ready.extend(self._ready.held.pop(process, []))
 
     def time(self) -> float:
-        """Return the loop's own time, in seconds."""
-        return self._jumping.now
+        """Return the virtual time, in seconds."""
+        return self._jump_selector.now
 
 
 def _do_nothing() -> None:
-    """Stand for what is not run."""
+    """Take the place of a callback that is held back."""
 
 
 @contextmanager
-def _clock_of(loop: VirtualLoop) -> Iterator[None]:
-    """Have code that asks for monotonic time get the loop's."""
+def _monotonic_of(loop: VirtualLoop) -> Iterator[None]:
+    """Replace `time.monotonic` by the time of a loop."""
     real = time.monotonic
     time.monotonic = loop.time
     try:
@@ -93,15 +93,15 @@
         time.monotonic = real
 
 
-def run_virtual(main: Callable[[], Awaitable[Played]]) -> Played:
-    """Run a coroutine to its end without waiting for its timers."""
+def run_virtual(main: Callable[[], Awaitable[Returned]]) -> Returned:
+    """Run a coroutine to its end in virtual time."""
     loop = VirtualLoop()
     try:
-        with _clock_of(loop):
+        with _monotonic_of(loop):
             return loop.run_until_complete(_awaited(main))
     finally:
         loop.close()
 
 
-async def _awaited(main: Callable[[], Awaitable[Played]]) -> Played:
+async def _awaited(main: Callable[[], Awaitable[Returned]]) -> Returned:
     return await main()
--- a/tests/lib/wire.py
+++ b/tests/lib/wire.py
@@ -1,4 +1,7 @@
-"""A fleet whose datagrams arrive at once or are lost; time moves by hand."""
+"""Connects hosts without sockets, with a clock that the test advances.
+
+Datagrams arrive immediately or are lost.
+"""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -12,18 +15,18 @@
 
 
 def pass_all(_sender: str, _receiver: str) -> bool:
-    """Let every datagram arrive."""
+    """Let all datagrams arrive."""
     return True
 
 
 class Wire:
-    """Members and radios of entry hosts without sockets.
+    """Members and heartbeat endpoints of entry hosts, without sockets.
 
     Attributes:
         now: Monotonic time in seconds.
-        sent: Datagrams sent.
-        hosts: Members and radio of each host that runs, by name.
-        passes: Whether a datagram from one address arrives at another.
+        sent: Number of datagrams sent.
+        hosts: Members and heartbeat endpoint of each running host, by name.
+        passes: Returns whether a datagram from one address arrives at another.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -35,42 +38,50 @@
         self._seeds: dict[str, tuple[str, ...]] = {}
 
     def start(self, peers: Iterable[PeerName], seeds: Iterable[str]) -> None:
-        """Start hosts at once; one after the other greets the seeds."""
+        """Start hosts at the same time, then let each greet the seeds."""
         seeds = tuple(seeds)
         started = []
         for peer in peers:
             members = Members(peer, lambda: self.now, lambda: True)
-            radio = _WiredRadio(self, members, self._random.getrandbits(32))
-            self.hosts[peer.name] = (members, radio)
+            endpoint = _WireEndpoint(
+                self,
+                members,
+                self._random.getrandbits(32),
+            )
+            self.hosts[peer.name] = (members, endpoint)
             self._seeds[peer.name] = seeds
-            started.append(radio)
-        for radio in started:
-            radio.greet(seeds)
+            started.append(endpoint)
+        for endpoint in started:
+            endpoint.greet(seeds)
 
     def beat(self, times: int = 1) -> None:
-        """Let every host send its heartbeat, a second later each time."""
+        """Advance the clock by a second and let all hosts send heartbeats.
+
+        Args:
+            times: Number of repetitions.
+        """
         for _ in range(times):
             self.now += 1
-            for name, (_members, radio) in self.hosts.items():
-                radio.send_due(self._seeds[name])
+            for name, (_members, endpoint) in self.hosts.items():
+                endpoint.send_due(self._seeds[name])
 
-    def carry(self, sender: str, address: str, datagram: bytes) -> None:
-        """Deliver a datagram, unless it is lost."""
+    def deliver(self, sender: str, address: str, datagram: bytes) -> None:
+        """Deliver a datagram unless it is lost."""
         self.sent += 1
         target = self.hosts.get(address)
         if target is not None and self.passes(sender, address):
             target[1].datagram_received(datagram, (sender, 1))
 
 
-class _WiredRadio(HeartbeatEndpoint):
+class _WireEndpoint(HeartbeatEndpoint):
     def __init__(self, wire: Wire, members: Members, seed: int) -> None:
         super().__init__(members, 1, Versions, Random(seed))
         self._wire = wire
 
     def _send_bytes(self, address: str, datagram: bytes) -> None:
-        self._wire.carry(self._members.own.address, address, datagram)
+        self._wire.deliver(self._members.own.address, address, datagram)
 
 
 def zone_hosts(zone: str, amount: int) -> list[PeerName]:
-    """Return hosts of a zone."""
+    """Return some hosts of a zone."""
     return [peer_of(f'{zone}-{number}', zone) for number in range(amount)]
