--- a/tests/lib/news_player.py
+++ b/tests/lib/news_player.py
@@ -1,7 +1,8 @@
-"""Plays how news reaches many entry hosts, without sockets or waiting.
+"""Simulates how updates reach many entry hosts, in virtual time.
 
-The hosts are whole gateways; datagrams, fetches between hosts and calls on the
-store travel through this module, which delays, loses and cuts them.
+The hosts are complete gateways without sockets. Datagrams, fetches between
+hosts and calls on the store pass through this module, which delays, loses and
+interrupts them.
 """
 
 import asyncio
@@ -39,15 +40,16 @@
 
 FLEET_PORTS = (7200, 7201)
 SERVICE = 'views'
-# One way, in seconds.
+# One-way latencies: within a zone, within a region, between regions.
 NEAR_SECONDS = 0.0002
 ZONE_SECONDS = 0.0014
 REGION_SECONDS = 0.02
+# Processing time of a call in the store.
 STORE_SECONDS = 0.004
-# From the start of a process until it runs.
+# Mean time from the start of a process until it runs.
 START_SECONDS = 0.4
-# Period of the looks at what hosts use.
-LOOK_SECONDS = 0.02
+# Interval between checks of which upstreams hosts use.
+USE_CHECK_SECONDS = 0.02
 _CLIENT_MODULES = (
     'wardstair.platform.store',
     'wardstair.state.exchange',
@@ -56,11 +58,11 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """Where hosts are.
+    """Location of the hosts.
 
     Attributes:
-        zones: Region of each zone; the store is in the first one's region.
-        hosts: Hosts in each zone.
+        zones: Region of each zone; the store is in that of the first one.
+        hosts: Number of hosts in each zone.
     """
 
     zones: dict[str, str]
@@ -72,8 +74,8 @@
 
     Args:
         regions: Number of regions.
-        zones: Zones in each region.
-        hosts: Hosts in each zone.
+        zones: Number of zones in each region.
+        hosts: Number of hosts in each zone.
     """
     return Layout(
         {
@@ -86,23 +88,23 @@
 
 
 @dataclass
-class StorePlay:
-    """What is wrong with the store.
+class StoreFaults:
+    """Faults of the store that are in effect.
 
     Attributes:
-        factor: How many times as long its answers take.
-        is_away: Whether it answers nobody.
-        withheld: Whether watches hear nothing.
-        stale_seconds: How far reads lag that may be stale.
-        refuses: Whether it refuses connections.
-        late_seconds: How much later each of its answers arrives.
+        factor: Factor of its processing time.
+        is_unresponsive: Whether all calls hang.
+        withholds_events: Whether watches receive no events.
+        stale_seconds: Age of the data returned to reads that accept stale data.
+        refuses_connections: Whether it refuses connections.
+        late_seconds: Additional latency of each answer.
     """
 
     factor: float = 1.0
-    is_away: bool = False
-    withheld: bool = False
+    is_unresponsive: bool = False
+    withholds_events: bool = False
     stale_seconds: float = 0.0
-    refuses: bool = False
+    refuses_connections: bool = False
     late_seconds: float = 0.0
 
 
@@ -114,20 +116,21 @@
 
 @dataclass
 class PlayedHost:
-    """A place for an entry host, and the process that runs there.
+    """A machine for an entry host, and the process that runs on it.
 
     Attributes:
         settings: Its settings.
-        host: The process; None while none runs.
-        changed_at: When it was last started, stopped or harmed.
-        thawed: Set unless it stands still.
-        context: What its callbacks run in.
+        host: The process; None while none is running.
+        changed_at: When it was last started, stopped, frozen or resumed.
         is_cut_from_store: Whether its calls on the store hang.
-        extra_seconds: How much later its datagrams and fetches arrive; the
-            larger of the two ends counts.
-        is_deaf: Whether nothing of other hosts arrives at it.
-        is_mute: Whether nothing of it arrives at other hosts.
-        fails_fetches: Whether its fetches from others fail.
+        extra_seconds: Additional latency of its datagrams and fetches; between
+            two hosts the larger value applies.
+        is_deaf: Whether it receives nothing from other hosts.
+        is_mute: Whether other hosts receive nothing from it.
+        fails_fetches: Whether its fetches from other hosts fail.
+        calls: Its calls on the store that are in progress.
+        thawed: Set unless the process is frozen.
+        context: Context in which its callbacks run.
     """
 
     settings: GatewaySettings
@@ -138,7 +141,7 @@
     is_deaf: bool = False
     is_mute: bool = False
     fails_fetches: bool = False
-    # Calls that are under way: false ends none of them, true resets them.
+    # A result of False lets the call hang, True resets its connection.
     calls: set['asyncio.Future[bool]'] = field(default_factory=set)
     thawed: asyncio.Event = field(default_factory=_set_event)
     context: Context = field(default_factory=copy_context)
@@ -146,16 +149,17 @@
 
 @dataclass
 class Leaving:
-    """An upstream that leaves.
+    """An upstream that leaves the deployment.
 
     Attributes:
         name: Its name.
-        at: When the store had acknowledged it.
-        used_until: When each host last would have used it.
-        held: The longest time after `at` at which a host used it that had not
-            been disturbed for the time of contact, and that host.
-        ran: The longest time at which a running host used it, after `at` and
-            after that host began or went on, and that host.
+        at: When the store acknowledged that it leaves.
+        used_until: When each host last might have sent to it.
+        held: Longest time after `at` for which a host used it, among hosts
+            undisturbed for the contact period, and the name of that host.
+        ran: Longest time for which a running host used it, counted from `at`
+            or from the start or resumption of that host if later, and the
+            name of that host.
     """
 
     name: str
@@ -166,7 +170,7 @@
 
 
 class NewsPlay:
-    """A fleet, its store and its network; one a play."""
+    """A simulated fleet with its store and its network, for one run."""
 
     def __init__(
         self,
@@ -176,13 +180,13 @@
         seed: int,
         loss: float = 0.0,
     ) -> None:
-        """Prepare without a host.
+        """Prepare the store and the machines; no host runs yet.
 
         Args:
-            layout: Where hosts are.
-            bounds: What they are held to.
+            layout: Location of the hosts.
+            bounds: Bounds of the hosts.
             upstreams: Number of upstreams.
-            seed: Of all draws.
+            seed: Seed of all random numbers.
             loss: Share of datagrams that are lost.
         """
         self.random = Random(seed)
@@ -190,14 +194,14 @@
         self.bounds = bounds
         self.loss = loss
         self.store = StoreStandin()
-        self.trouble = StorePlay()
+        self.store_faults = StoreFaults()
         self.places: dict[str, PlayedHost] = {}
         self.leaving: list[Leaving] = []
         self.store_calls = 0
-        # Revisions of the store, and since when.
+        # Revisions of the store, each with the time of its write.
         self._revisions: list[tuple[float, int]] = []
         self._seed = seed
-        self._drawn = Counter[tuple[str, str]]()
+        self._draw_counts = Counter[tuple[str, str]]()
         self.datagrams = 0
         self.disturbed_at = float('-inf')
         self._by_address: dict[str, PlayedHost] = {}
@@ -240,12 +244,12 @@
 
     @property
     def hosts(self) -> list[GatewayHost]:
-        """The processes that run."""
+        """The running processes."""
         return [one.host for one in self.places.values() if one.host]
 
     @property
     def now(self) -> float:
-        """The time of the play, in seconds."""
+        """The virtual time, in seconds."""
         return asyncio.get_running_loop().time()
 
     async def start_all(self) -> None:
@@ -265,8 +269,9 @@
         """Start a process.
 
         Args:
-            name: Where.
-            after: In how many seconds; it takes some more until it runs.
+            name: Name of the host.
+            after: Seconds before the start; the process runs about
+                `START_SECONDS` after that.
         """
         await asyncio.sleep(after)
         place = self.places[name]
@@ -287,7 +292,7 @@
 
     @property
     def sentinels(self) -> list[str]:
-        """Names of the hosts that take themselves for sentinels, in order."""
+        """Names of the hosts that act as sentinels, in order of rank."""
         ranked = []
         for name, place in self.places.items():
             if place.host is None:
@@ -298,11 +303,11 @@
         return [name for _, name in sorted(ranked)]
 
     async def stand_still(self, name: str, seconds: float) -> None:
-        """Have a process take nothing in and do nothing, then go on.
+        """Freeze a process for some time, then resume it.
 
         Args:
-            name: Where.
-            seconds: For how long.
+            name: Name of the host.
+            seconds: Duration.
         """
         place = self.places[name]
         if place.host is None or not place.thawed.is_set():
@@ -320,7 +325,7 @@
             place.thawed.set()
 
     async def stop(self, name: str) -> None:
-        """Stop a process as an operator does."""
+        """Stop a process gracefully, as an operator does."""
         place = self.places[name]
         await place.thawed.wait()
         place.changed_at = self.now
@@ -330,7 +335,7 @@
         place.changed_at = self.now
 
     async def kill(self, name: str) -> None:
-        """End a process without a word."""
+        """End a process without notice to other hosts."""
         place = self.places[name]
         place.changed_at = self.now
         host, place.host = place.host, None
@@ -338,22 +343,22 @@
             await host.close()
 
     def add(self, zone: str) -> str:
-        """Add a place for one host more; return its name."""
+        """Add a machine for another host and return its name."""
         name = f'{zone}-{len(self.places)}'
         self._add_place(name, zone)
         return name
 
     async def restart(self, name: str) -> None:
-        """Stop a process as an operator does, and start it again."""
+        """Stop a process gracefully and start it again."""
         await self.stop(name)
         await self.start(name, after=0.1)
 
     def _attach(self, host: GatewayHost, place: PlayedHost) -> None:
-        """Have all that a process sends travel through this play."""
-        nothing = _Nothing()
-        host._listeners = nothing  # type: ignore[assignment]
-        host.radio.start = _open_nothing  # type: ignore[method-assign]
-        host.demand_radio.start = _open_nothing  # type: ignore[method-assign]
+        """Route all that a process sends through the simulation."""
+        no_listeners = _NoListeners()
+        host._listeners = no_listeners  # type: ignore[assignment]
+        host.radio.start = _skip_start  # type: ignore[method-assign]
+        host.demand_radio.start = _skip_start  # type: ignore[method-assign]
 
         def send(address: str, datagram: bytes) -> None:
             self._deliver(place, address, datagram)
@@ -376,7 +381,7 @@
         host.exchange.ask = ask
         host.store._call = call  # type: ignore[assignment]
 
-    def _way(self, one: PlayedHost, other: PlayedHost) -> float:
+    def _path_seconds(self, one: PlayedHost, other: PlayedHost) -> float:
         zones = self.layout.zones
         here, there = one.settings.zone, other.settings.zone
         if here == there:
@@ -390,10 +395,14 @@
         return seconds * spread + late
 
     def _draw(self, one: PlayedHost, other: PlayedHost) -> float:
-        """Draw for a way; whoever sends in another order draws the same."""
-        way = (one.settings.name, other.settings.name)
-        self._drawn[way] += 1
-        named = f'{self._seed} {way} {self._drawn[way]}'
+        """Return a pseudorandom number between 0 and 1 for a path.
+
+        It depends on the seed, the path and the number of draws for this path,
+        so the order of sends on other paths does not change it.
+        """
+        path = (one.settings.name, other.settings.name)
+        self._draw_counts[path] += 1
+        named = f'{self._seed} {path} {self._draw_counts[path]}'
         return crc32(named.encode()) / 2**32
 
     def _deliver(
@@ -409,7 +418,7 @@
         if place.is_mute or target.is_deaf:
             return
         asyncio.get_running_loop().call_later(
-            self._way(place, target),
+            self._path_seconds(place, target),
             self._arrive,
             target,
             datagram,
@@ -445,8 +454,8 @@
     ) -> HTTPResponse:
         if place.fails_fetches:
             raise HTTPClientError(599, 'connection refused')
-        # A new connection and the request.
-        await asyncio.sleep(3 * self._way(place, target))
+        # A round trip for the new connection, and the request.
+        await asyncio.sleep(3 * self._path_seconds(place, target))
         if any(one.is_deaf or one.is_mute for one in (place, target)):
             await asyncio.Event().wait()
         await target.thawed.wait()
@@ -456,18 +465,18 @@
         theirs = decode_versions(parse_qs(parts.query)['have'][0])
         assert theirs is not None
         body = target.host.exchange.answer(theirs)
-        await asyncio.sleep(self._way(target, place))
+        await asyncio.sleep(self._path_seconds(target, place))
         return HTTPResponse(request, 200, buffer=BytesIO(body))
 
     def silence_watches(self, places: Iterable[PlayedHost]) -> None:
-        """Have calls that are under way never be answered."""
+        """Never answer the calls on the store that are in progress."""
         for place in places:
             for call in place.calls:
                 call.set_result(False)
             place.calls.clear()
 
     def reset_calls(self) -> None:
-        """Have all calls that are under way end with an error."""
+        """End all calls on the store that are in progress with an error."""
         for place in self.places.values():
             for call in place.calls:
                 call.set_result(True)
@@ -523,11 +532,11 @@
     ) -> Result[Answer, PlatformError]:
         first = next(iter(self.layout.zones.values()))
         is_near = self.layout.zones[place.settings.zone] == first
-        way = ZONE_SECONDS if is_near else REGION_SECONDS
-        await asyncio.sleep(way)
-        if place.is_cut_from_store or self.trouble.is_away:
+        path_seconds = ZONE_SECONDS if is_near else REGION_SECONDS
+        await asyncio.sleep(path_seconds)
+        if place.is_cut_from_store or self.store_faults.is_unresponsive:
             await asyncio.Event().wait()
-        if self.trouble.refuses:
+        if self.store_faults.refuses_connections:
             return Err(PlatformUnavailable(f'{method} {path}: refused'))
         parts = urlsplit(path)
         _, _, kind, *rest = parts.path.split('/')
@@ -539,8 +548,10 @@
             outcome = await self._watch(kind, query)
         else:
             outcome = self._read(kind, name, is_stale='stale_ok' in query)
-        late = self.trouble.late_seconds
-        await asyncio.sleep(STORE_SECONDS * self.trouble.factor + late + way)
+        late = self.store_faults.late_seconds
+        await asyncio.sleep(
+            STORE_SECONDS * self.store_faults.factor + late + path_seconds
+        )
         if isinstance(outcome, Err):
             return outcome
         body = json.dumps(outcome.ok_value).encode()
@@ -550,7 +561,7 @@
         self._revisions.append((self.now, self.store.revision))
 
     def _stale_revision(self) -> int:
-        until = self.now - self.trouble.stale_seconds
+        until = self.now - self.store_faults.stale_seconds
         past = [number for at, number in self._revisions if at <= until]
         if past:
             return past[-1]
@@ -565,7 +576,7 @@
     ) -> Result[object, PlatformError]:
         held = self.store.kind(kind).objects
         as_of = self.store.revision
-        if is_stale and self.trouble.stale_seconds:
+        if is_stale and self.store_faults.stale_seconds:
             as_of = self._stale_revision()
             held = {}
             for revision, stored, is_deleted in self.store.kind(kind).history:
@@ -592,7 +603,10 @@
         store = self.store
         after = int(query['watch'])
         end = self.now + float(query['wait_ms']) / 1000
-        while self.trouble.withheld or not store.events(kind, after):
+        while self.store_faults.withholds_events or not store.events(
+            kind,
+            after,
+        ):
             if after < store.kind(kind).forgotten_below:
                 break
             left = end - self.now
@@ -607,7 +621,7 @@
         if after > store.revision or (after < store.kind(kind).forgotten_below):
             return Err(WatchForgotten(0))
         events: list[Stored] = []
-        if not self.trouble.withheld:
+        if not self.store_faults.withholds_events:
             events = store.events(kind, after)
         return Ok({'events': events, 'as_of': store.revision})
 
@@ -639,7 +653,7 @@
         return Ok(held[written])
 
     def let_leave(self, name: str) -> Leaving:
-        """Have an upstream say in the store that it drains."""
+        """Mark an upstream as draining in the store."""
         known = self.store.kind('servers').objects[name]
         spec = known['spec']
         assert isinstance(spec, dict)
@@ -650,8 +664,8 @@
         self.leaving.append(left)
         return left
 
-    def let_go(self, name: str) -> Leaving:
-        """Have the entry of an upstream go without a word before."""
+    def remove_upstream(self, name: str) -> Leaving:
+        """Delete the entry of an upstream that was not draining."""
         self.store.delete('servers', name)
         self._note_revision()
         left = Leaving(name, self.now)
@@ -659,16 +673,16 @@
         return left
 
     async def look(self) -> None:
-        """Note which hosts use upstreams that leave, until cancelled."""
+        """Record which hosts use upstreams that leave, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(USE_CHECK_SECONDS)
             for place in self.places.values():
                 if place.host is None or not place.thawed.is_set():
                     continue
                 if self.leaving:
-                    self._look_at(place, place.host)
+                    self._record_use(place, place.host)
 
-    def _look_at(self, place: PlayedHost, host: GatewayHost) -> None:
+    def _record_use(self, place: PlayedHost, host: GatewayHost) -> None:
         now = self.now
         used = {
             one.name for one in host.local_state.catalog.of_service(SERVICE)
@@ -690,8 +704,8 @@
             await self.kill(name)
 
 
-class _Nothing:
-    """Stands for sockets that a played process does not open."""
+class _NoListeners:
+    """Replaces the listeners, which a simulated process does not open."""
 
     def __getattr__(self, _name: str) -> Callable[..., None]:
         return self._ignore
@@ -703,7 +717,7 @@
         """Do nothing."""
 
 
-async def _open_nothing(address: str) -> None:
+async def _skip_start(address: str) -> None:
     """Do nothing."""
 
 
@@ -713,7 +727,7 @@
 
 @contextmanager
 def without_clients() -> Iterator[None]:
-    """Have processes that begin now make no client of libcurl."""
+    """Let processes that start inside the block create no HTTP client."""
     patches = [
         patch(f'{module}.make_client', _no_client) for module in _CLIENT_MODULES
     ]
--- a/tests/lib/news_troubles.py
+++ b/tests/lib/news_troubles.py
@@ -1,4 +1,7 @@
-"""Troubles that act on a played fleet, alone or two at once."""
+"""Faults and restarts in a simulated fleet, alone or in pairs.
+
+The name of a trouble is part of the seed of its random numbers.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,12 +15,15 @@
 from lib.virtual_time import run_virtual
 from wardstair.gateway.settings import Bounds
 
+# Time for a fleet to settle before the troubles begin.
 CALM_SECONDS = 6.0
+# When upstreams leave, in seconds after the troubles begin.
 LEAVE_OFFSETS = (0.05, 0.4, 0.9, 1.5, 2.1, 2.8)
+# Duration of the simulation after the troubles begin.
 AFTER_SECONDS = 9.0
-STILL_SECONDS = 3.0
-LATE_SECONDS = 0.3
-# How long troubles last that do not end by themselves.
+FREEZE_SECONDS = 3.0
+ADDED_LATENCY_SECONDS = 0.3
+# Duration of troubles that do not end by themselves.
 TROUBLE_SECONDS = 6.0
 BOUNDS = Bounds(
     drain_seconds=2.5,
@@ -25,7 +31,7 @@
     evacuate_seconds=5,
     contact_seconds=3.0,
 )
-_EVENTS = (
+_RELEVANT_EVENTS = (
     'upstreams-read',
     'upstreams-adopted',
     'watch-renewed',
@@ -42,110 +48,113 @@
 
 
 async def watches_silent(play: NewsPlay, _random: Random) -> None:
-    """Have no call that is under way be answered; new ones work."""
+    """Never answer the calls in progress on the store; new ones work."""
     play.silence_watches(play.places.values())
 
 
 async def one_still(play: NewsPlay, _random: Random) -> None:
-    """Have the first sentinel stand still."""
-    await play.stand_still(play.sentinels[0], STILL_SECONDS)
+    """Freeze the first sentinel."""
+    await play.stand_still(play.sentinels[0], FREEZE_SECONDS)
 
 
 async def both_still(play: NewsPlay, _random: Random) -> None:
-    """Have both sentinels stand still."""
-    await _all_still(play, play.sentinels)
+    """Freeze both sentinels."""
+    await _freeze_all(play, play.sentinels)
 
 
 async def still_in_turn(play: NewsPlay, _random: Random) -> None:
-    """Have a sentinel stand still, and the next one later."""
+    """Freeze one sentinel, and the other one later."""
     first, second = play.sentinels[:2]
-    still = asyncio.ensure_future(play.stand_still(first, STILL_SECONDS))
+    still = asyncio.ensure_future(play.stand_still(first, FREEZE_SECONDS))
     await asyncio.sleep(0.7)
-    await asyncio.gather(still, play.stand_still(second, STILL_SECONDS))
+    await asyncio.gather(still, play.stand_still(second, FREEZE_SECONDS))
 
 
 async def successors_still(play: NewsPlay, _random: Random) -> None:
-    """Have both sentinels stand still, and two successors as they begin."""
+    """Freeze both sentinels, and two successors as they take over."""
     first = play.sentinels
-    still = [asyncio.ensure_future(_all_still(play, first))]
+    still = [asyncio.ensure_future(_freeze_all(play, first))]
     seen = set(first)
-    end = play.now + STILL_SECONDS
+    end = play.now + FREEZE_SECONDS
     while play.now < end and len(seen) < len(first) + 2:
         await asyncio.sleep(0.02)
         for name in play.sentinels:
             if name not in seen:
                 seen.add(name)
-                standing = play.stand_still(name, STILL_SECONDS)
-                still.append(asyncio.ensure_future(standing))
+                freezing = play.stand_still(name, FREEZE_SECONDS)
+                still.append(asyncio.ensure_future(freezing))
     await asyncio.gather(*still)
 
 
-async def _all_still(play: NewsPlay, names: list[str]) -> None:
+async def _freeze_all(play: NewsPlay, names: list[str]) -> None:
     await asyncio.gather(
-        *(play.stand_still(name, STILL_SECONDS) for name in names)
+        *(play.stand_still(name, FREEZE_SECONDS) for name in names)
     )
 
 
 async def datagrams_lost(play: NewsPlay, _random: Random) -> None:
-    """Lose a third of all datagrams."""
+    """Drop a third of all datagrams."""
     play.loss = 1 / 3
     await asyncio.sleep(TROUBLE_SECONDS)
     play.loss = 0.0
 
 
 async def store_late(play: NewsPlay, _random: Random) -> None:
-    """Have each answer of the store arrive late."""
-    play.trouble.late_seconds = LATE_SECONDS
-    await _disturbed(play, TROUBLE_SECONDS)
-    play.trouble.late_seconds = 0.0
+    """Delay each answer of the store."""
+    play.store_faults.late_seconds = ADDED_LATENCY_SECONDS
+    await _disturb(play, TROUBLE_SECONDS)
+    play.store_faults.late_seconds = 0.0
 
 
 async def ways_late(play: NewsPlay, _random: Random) -> None:
-    """Have the ways of all hosts but sentinels be late."""
+    """Delay datagrams and fetches of all hosts except sentinels."""
     sentinels = play.sentinels
     places = [one for name, one in play.places.items() if name not in sentinels]
     for place in places:
-        place.extra_seconds = LATE_SECONDS
+        place.extra_seconds = ADDED_LATENCY_SECONDS
     await asyncio.sleep(TROUBLE_SECONDS)
     for place in places:
         place.extra_seconds = 0.0
 
 
 async def store_forgets(play: NewsPlay, _random: Random) -> None:
-    """Withhold watches, then end all of them with 410."""
-    play.trouble.withheld = True
-    play.trouble.stale_seconds = 3.0
-    await _disturbed(play, 1.0)
-    play.trouble.withheld = False
-    play.trouble.stale_seconds = 0.0
+    """Withhold events from watches, then end all watches with 410."""
+    play.store_faults.withholds_events = True
+    play.store_faults.stale_seconds = 3.0
+    await _disturb(play, 1.0)
+    play.store_faults.withholds_events = False
+    play.store_faults.stale_seconds = 0.0
     for kind in list(play.store.kinds):
         play.store.compact(kind)
 
 
 async def store_cut(play: NewsPlay, _random: Random) -> None:
     """Reset all connections to the store and refuse new ones."""
-    play.trouble.refuses = True
+    play.store_faults.refuses_connections = True
     play.reset_calls()
-    await _disturbed(play, 0.6)
-    play.trouble.refuses = False
+    await _disturb(play, 0.6)
+    play.store_faults.refuses_connections = False
+
 
+async def _disturb(play: NewsPlay, seconds: float) -> None:
+    """Wait, and mark this time as a disturbance of all hosts.
 
-async def _disturbed(play: NewsPlay, seconds: float) -> None:
-    """Wait; the rule counts again some time after the last such wait."""
+    The bound applies again after a contact period without disturbance.
+    """
     play.disturbed_at = max(play.disturbed_at, play.now + seconds)
     await asyncio.sleep(seconds)
 
 
 async def host_deaf(play: NewsPlay, random: Random) -> None:
-    """Have one host hear nothing from others."""
-    place = play.places[_plain(play, random)]
+    """Let a host that is no sentinel receive nothing from others."""
+    place = play.places[_draw_non_sentinel(play, random)]
     place.is_deaf = True
     await asyncio.sleep(TROUBLE_SECONDS)
     place.is_deaf = False
 
 
 async def host_mute(play: NewsPlay, random: Random) -> None:
-    """Have others hear nothing of one host, the first sentinel."""
+    """Let other hosts receive nothing from the first sentinel."""
     place = play.places[play.sentinels[0]]
     place.is_mute = True
     await asyncio.sleep(TROUBLE_SECONDS)
@@ -153,15 +162,15 @@
 
 
 async def fetches_fail(play: NewsPlay, random: Random) -> None:
-    """Have all fetches of one host from others fail."""
-    place = play.places[_plain(play, random)]
+    """Fail all fetches from other hosts by a host that is no sentinel."""
+    place = play.places[_draw_non_sentinel(play, random)]
     place.fails_fetches = True
     await asyncio.sleep(TROUBLE_SECONDS)
     place.fails_fetches = False
 
 
 async def host_starts(play: NewsPlay, random: Random) -> None:
-    """Start a host while news is told."""
+    """Start a host while updates are spreading."""
     zone = random.choice(list(play.layout.zones))
     await play.start(play.add(zone), after=random.uniform(0, 1.5))
 
@@ -199,16 +208,16 @@
 
 
 async def removals(_play: NewsPlay, _random: Random) -> None:
-    """Have upstreams go without draining before; see `played`."""
+    """Do nothing; `_play` then removes upstreams that were not draining."""
 
 
 async def host_still(play: NewsPlay, random: Random) -> None:
-    """Have a host that is no sentinel stand still."""
-    await play.stand_still(_plain(play, random), 1.5)
+    """Freeze a host that is no sentinel."""
+    await play.stand_still(_draw_non_sentinel(play, random), 1.5)
 
 
-def _plain(play: NewsPlay, random: Random) -> str:
-    """Draw a host that is no sentinel."""
+def _draw_non_sentinel(play: NewsPlay, random: Random) -> str:
+    """Return a random host that is no sentinel."""
     sentinels = play.sentinels
     return random.choice([one for one in play.places if one not in sentinels])
 
@@ -240,19 +249,20 @@
 
 
 def all_cases() -> list[tuple[str, ...]]:
-    """Return each trouble and each pair of them."""
+    """Return each trouble alone and each pair of troubles."""
     return [(name,) for name in TROUBLES] + list(combinations(TROUBLES, 2))
 
 
 @dataclass(frozen=True)
 class Age:
-    """How long an upstream was used after the acknowledgement, at worst.
+    """Longest use of an upstream after the store acknowledged that it leaves.
 
     Attributes:
-        seconds: How long.
-        host: Where.
-        upstream: Which.
-        offset: When it left after the troubles began, in seconds.
+        seconds: Time after the acknowledgement.
+        host: Host that used it.
+        upstream: Name of the upstream.
+        offset: Time from the start of the troubles to the acknowledgement, in
+            seconds.
     """
 
     seconds: float = 0.0
@@ -263,12 +273,13 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a play has shown.
+    """Result of a simulation.
 
     Attributes:
-        held: The worst at hosts in touch.
-        ran: The worst at any running host.
-        chain: Events about the worst, in seconds after the acknowledgement.
+        held: Longest use by a host undisturbed for the contact period.
+        ran: Longest use by any running host.
+        chain: Log lines that explain `ran`, with their times in seconds after
+            the acknowledgement.
     """
 
     held: Age
@@ -277,7 +288,7 @@
 
 
 @dataclass(frozen=True)
-class _Line:
+class _LogLine:
     at: float
     process: str
     text: str
@@ -289,50 +300,50 @@
     hosts: int,
     seed: int,
 ) -> Outcome:
-    """Play a calm fleet, then troubles while upstreams leave.
+    """Simulate a settled fleet, then troubles while upstreams leave.
 
     Args:
-        names: Troubles that begin at the same time.
-        zones: Zones in each of three regions.
-        hosts: Hosts in each zone.
-        seed: Of all draws.
+        names: Names of the troubles, which begin at the same time.
+        zones: Number of zones in each of three regions.
+        hosts: Number of hosts in each zone.
+        seed: Seed of all random numbers.
     """
-    lines: list[_Line] = []
+    lines: list[_LogLine] = []
 
     def note(message: object) -> None:
         record = message.record  # type: ignore[attr-defined]
         process = str(record['extra'].get('process', ''))
         now = asyncio.get_running_loop().time()
-        lines.append(_Line(now, process, str(record['message'])))
+        lines.append(_LogLine(now, process, str(record['message'])))
 
     logger.remove()
     sink = logger.add(note, format='{message}', level='INFO')
     try:
-        return run_virtual(lambda: _played(names, (zones, hosts), seed, lines))
+        return run_virtual(lambda: _play(names, (zones, hosts), seed, lines))
     finally:
         logger.remove(sink)
 
 
-async def _played(
+async def _play(
     names: tuple[str, ...],
     size: tuple[int, int],
     seed: int,
-    lines: list[_Line],
+    lines: list[_LogLine],
 ) -> Outcome:
     with without_clients():
         layout = layout_of(3, *size)
         play = NewsPlay(layout, BOUNDS, 24, seed)
         await play.start_all()
         looking = asyncio.ensure_future(play.look())
-        await _calm(play)
+        await _settle(play)
         began = play.now
         troubles = [
             asyncio.ensure_future(
-                _begun(TROUBLES[name], play, Random(f'{seed} {name}')),
+                _run_trouble(TROUBLES[name], play, Random(f'{seed} {name}')),
             )
             for name in names
         ]
-        leave = play.let_go if 'removals' in names else play.let_leave
+        leave = play.remove_upstream if 'removals' in names else play.let_leave
         for number, offset in enumerate(LEAVE_OFFSETS):
             await asyncio.sleep(began + offset - play.now)
             leave(f'i-{number}')
@@ -348,11 +359,11 @@
         return outcome
 
 
-async def _calm(play: NewsPlay) -> None:
-    """Let a fleet settle, and end the watches that remain of its start.
+async def _settle(play: NewsPlay) -> None:
+    """Let a fleet settle, and end the watches left over from its start.
 
-    At first each host takes itself for a sentinel. Its watch of upstreams
-    would wait for 25 s, and hide that both sentinels have failed.
+    At its start each host acts as a sentinel. Its watch of upstreams would wait
+    for 25 s and hide a failure of both sentinels.
     """
     for _ in range(2):
         await asyncio.sleep(CALM_SECONDS / 3)
@@ -361,22 +372,26 @@
     await asyncio.sleep(CALM_SECONDS / 3)
 
 
-async def _begun(trouble: Trouble, play: NewsPlay, random: Random) -> None:
+async def _run_trouble(
+    trouble: Trouble,
+    play: NewsPlay,
+    random: Random,
+) -> None:
     await trouble(play, random)
 
 
-def _outcome(play: NewsPlay, began: float, lines: list[_Line]) -> Outcome:
-    held = [_age(left, left.held, began) for left in play.leaving]
-    ran = [_age(left, left.ran, began) for left in play.leaving]
+def _outcome(play: NewsPlay, began: float, lines: list[_LogLine]) -> Outcome:
+    held = [_age_of(left, left.held, began) for left in play.leaving]
+    ran = [_age_of(left, left.ran, began) for left in play.leaving]
     worst = max(ran, key=_seconds)
     return Outcome(
         max(held, key=_seconds),
         worst,
-        _chain(lines, worst, began),
+        _events_until(lines, worst, began),
     )
 
 
-def _age(left: Leaving, worst: tuple[float, str], began: float) -> Age:
+def _age_of(left: Leaving, worst: tuple[float, str], began: float) -> Age:
     return Age(worst[0], worst[1], left.name, left.at - began)
 
 
@@ -384,16 +399,20 @@
     return age.seconds
 
 
-def _chain(lines: list[_Line], age: Age, began: float) -> tuple[str, ...]:
-    """Return the events up to the end of an age."""
+def _events_until(
+    lines: list[_LogLine],
+    age: Age,
+    began: float,
+) -> tuple[str, ...]:
+    """Return the relevant log lines until the end of an age."""
     at = began + age.offset
     end = at + age.seconds + 0.05
     return tuple(
         f'{line.at - at:+.3f} {line.process} {line.text}'
         for line in lines
-        if min(at, began) - 0.05 <= line.at <= end and _matters(line.text)
+        if min(at, began) - 0.05 <= line.at <= end and _is_relevant(line.text)
     )
 
 
-def _matters(text: str) -> bool:
-    return any(text.startswith(f'event={event}') for event in _EVENTS)
+def _is_relevant(text: str) -> bool:
+    return any(text.startswith(f'event={event}') for event in _RELEVANT_EVENTS)
