--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomised faults against real gateway processes; see `play`."""
+"""Randomised fault injection against real gateway processes; see `play`."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m soak`: plays seeds and prints what each has shown."""
+"""`python -m soak`: runs a play for each seed and prints the results."""
 
 import asyncio
 import sys
@@ -24,18 +24,18 @@
     only_silence: bool = False,
     only_cuts: bool = False,
 ) -> None:
-    """Play seeds one after another; exit with 1 if a promise was broken.
+    """Run a play per seed in sequence; exit with 1 if a guarantee was violated.
 
     Args:
-        seeds: Seeds with commas between; fresh ones if empty.
-        count: How many fresh seeds.
-        seconds: How long faults begin, each time.
-        hosts: Gateways; upstreams and callers grow with them.
-        gap: Mean seconds between the begins of faults.
-        only_silence: Whether connections to the store fall silent, and nothing
-            else happens.
-        only_cuts: Whether hosts are cut off from upstreams, and nothing else
-            happens.
+        seeds: Comma-separated seeds; new ones are drawn if empty.
+        count: Number of new seeds to draw.
+        seconds: Duration of the fault phase of each play.
+        hosts: Number of gateways; upstreams and callers scale with it.
+        gap: Mean seconds between the starts of faults.
+        only_silence: Whether the only fault is that open connections to the
+            store stop carrying data.
+        only_cuts: Whether the only fault is that hosts are cut off from
+            upstreams.
     """
     drawn = SystemRandom()
     chosen = [int(one) for one in str(seeds).strip('()').split(',') if one]
--- a/tests/soak/bound.py
+++ b/tests/soak/bound.py
@@ -1,6 +1,7 @@
 """A gateway that connects to upstreams from its own address.
 
-On one machine a proxy can tell by it which host a connection is of.
+All hosts of a play share one machine; the source address lets a proxy
+identify the host that opened a connection.
 """
 
 import os
--- a/tests/soak/breaks.py
+++ b/tests/soak/breaks.py
@@ -1,4 +1,4 @@
-"""Breaks that are put into a gateway on purpose, which a play has to find."""
+"""Deliberate defects of a gateway that a play has to detect."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -31,7 +31,7 @@
 
 
 def lie_about_not_run() -> None:
-    """Tell callers that a request has not run when it may have."""
+    """Report to callers that a request has not run although it may have."""
     status = refusals.OVERLOADED.status
     lie = replace(refusals.OUTCOME_UNKNOWN, status=status, retry_after=0.1)
     refusals.OUTCOME_UNKNOWN = lie
@@ -39,7 +39,7 @@
 
 
 def forget_versions() -> None:
-    """Let each version that is read be in force, also older ones."""
+    """Apply every configuration version that is read, even an older one."""
     adopt = local_state.LocalState.offer_configuration
     kept: list[StoredObject] = []
 
@@ -51,7 +51,7 @@
         kept.append(stored)
         adopted = adopt(self, stored, source)
         if len(kept) % 2 == 0 and self.steering is not None:
-            # Back to the first version, as if nothing had been seen since.
+            # Reverts to the first version, as if no later one had been read.
             self.steering = replace(self.steering, version=-1)
             adopt(self, kept[0], source)
         return adopted
@@ -60,7 +60,7 @@
 
 
 def believe_to_be_alone() -> None:
-    """Let each host take itself for the only one at any time."""
+    """Make each host treat itself as the only one in the fleet."""
 
     def view(self: fleet_views.FleetViews) -> HostView:
         host = self._members.own
@@ -79,7 +79,7 @@
 
 
 def keep_old_tallies() -> None:
-    """Let what was sent by old weights count against new ones."""
+    """Keep the request counts of old weights when weights change."""
     begin = splitting.TrafficSplitter._begin
 
     def go_on(
@@ -95,7 +95,7 @@
 
 
 def forget_harm() -> None:
-    """Let nothing that ended under a request be known for long."""
+    """Discard evidence that a request terminated upstreams."""
 
     def take_in(
         self: suspects.SuspectTable,
@@ -107,7 +107,7 @@
 
 
 def ignore_limits() -> None:
-    """Let no host know what an upstream has named."""
+    """Ignore the rate limits that upstreams announce."""
 
     def rate_of(
         self: limits.LimitTable,
@@ -119,29 +119,29 @@
 
 
 def ignore_leaving() -> None:
-    """Let no host know that an upstream has said that it leaves."""
+    """Ignore announcements by upstreams that they are leaving."""
 
     def note_leaving(self: notices.NoticeTable, upstream: Upstream) -> None:
-        """Forget it at once."""
+        """Discard it."""
 
     notices.NoticeTable.note_leaving = note_leaving  # type: ignore[method-assign]
 
 
 def ignore_pauses() -> None:
-    """Let no host know that an upstream has asked for a pause."""
+    """Ignore requests by upstreams for a pause."""
 
     def note_pause(
         self: notices.NoticeTable,
         upstream: Upstream,
         seconds: float,
     ) -> None:
-        """Forget it at once."""
+        """Discard it."""
 
     notices.NoticeTable.note_pause = note_pause  # type: ignore[method-assign]
 
 
 def ignore_eras() -> None:
-    """Let revisions of a restored store count as those of before."""
+    """Treat revisions of a restored store as those from before the restore."""
 
     def note_era(self: store.Store, response: HTTPResponse) -> int:
         return 0
@@ -150,10 +150,10 @@
 
 
 def trust_silent_watches() -> None:
-    """Let hosts wait for watches that are never answered.
+    """Make hosts wait for watches that are never answered.
 
-    The age of their state would have them ask the store, so they take it for
-    new.
+    The age of the state would make hosts poll the store, so it is reported as
+    zero.
     """
 
     def seconds(self: age.StateAge) -> float:
@@ -175,13 +175,13 @@
 
 
 def pass_keys_on() -> None:
-    """Let hosts send API keys to upstreams."""
+    """Forward API keys to upstreams."""
     api_key = headers.API_KEY.lower()
     headers._REPLACED = headers._REPLACED - {api_key}
 
 
 def keep_dropped_keys() -> None:
-    """Let hosts accept an API key after a version has dropped it."""
+    """Accept API keys that a later configuration version has removed."""
     held: dict[bytes, organisations.Organisation] = {}
 
     def owner_of(
@@ -196,7 +196,7 @@
 
 
 def bind_address(address: str) -> None:
-    """Connect to upstreams from an address.
+    """Open connections to upstreams from a given source address.
 
     Args:
         address: IP address of this host.
@@ -220,7 +220,7 @@
 
 
 def keep_to_itself() -> None:
-    """Hand nothing on, and tell nobody what is out of reach."""
+    """Forward nothing to peers and report no unreachable upstream."""
     setattr(peer_forwarding.PeerForwarder, 'find', _find_nobody)  # noqa: B010
     reachability.ReachabilityTable.is_cut_off = property(  # type: ignore[assignment]
         lambda _table: False,
@@ -232,10 +232,10 @@
 
 
 def run(kind: str) -> None:
-    """Put a break in and run the program.
+    """Install a defect and run the gateway.
 
     Args:
-        kind: Names the break.
+        kind: Name of the defect; any other text installs none.
     """
     match kind:
         case 'trapped':
--- a/tests/soak/broken.py
+++ b/tests/soak/broken.py
@@ -1,8 +1,9 @@
-"""A gateway with a break put in on purpose: `python -m soak.broken`.
+"""A gateway with a deliberate defect: `python -m soak.broken`.
 
-The kind comes from a variable, since the settings file is the only argument of
-the real program. Like that one it loads the rest only once a hang-up does not
-end it: one that came meanwhile did, and the host was gone for good.
+The defect is selected by an environment variable because the settings file is
+the only argument of the real program. Like the real program, this one ignores
+SIGHUP before it imports the rest: a SIGHUP during the imports used to terminate
+the process, and the host stayed down.
 """
 
 import os
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a play: they keep their connections until the process is gone."""
+"""Callers of a play; each keeps its connection until the gateway closes it."""
 
 import asyncio
 import contextlib
@@ -17,9 +17,9 @@
     Kind.once: '/order/x',
     Kind.divided: '/split/x',
 }
-# Things that requests concern.
+# Number of distinct keys that requests carry.
 KEYS = 24
-# A caller gives up on an answer after this long.
+# Timeout of a request.
 PATIENCE_SECONDS = 4.0
 CONNECT_SECONDS = 1.0
 PAUSE_SECONDS = 0.02
@@ -27,7 +27,7 @@
 
 
 class CallerTask:
-    """One caller; sends one request after another."""
+    """One caller, which sends requests sequentially."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         ledger: Ledger,
         random: Random,
     ) -> None:
-        """Prepare without a connection."""
+        """Create a caller that is not connected yet."""
         self._name = name
         self._gateways = gateways
         self._ledger = ledger
@@ -47,7 +47,7 @@
         self._life = ''
 
     async def run(self, is_over: Callable[[], bool]) -> None:
-        """Send requests until it is over; the last one is answered."""
+        """Send requests until the play is over; the last one is completed."""
         while not is_over():
             kind = self._random.choice((Kind.safe, Kind.divided, Kind.once))
             await self.ask(kind)
@@ -55,7 +55,7 @@
         self._drop()
 
     async def ask(self, kind: Kind) -> Try | None:
-        """Send one request; None if no connection came up."""
+        """Send one request; return None if no connection was established."""
         if self._caller is None and not await self._connect():
             await asyncio.sleep(PAUSE_SECONDS)
             return None
@@ -70,7 +70,7 @@
                 await caller.send(TARGETS[kind], 'POST', body, name, key)
                 answer = await caller.answer()
         except (TimeoutError, ConnectionError):
-            # It leaves; what becomes of the request is not its business.
+            # The caller disconnects without an outcome for the request.
             self._drop()
             return made
         made.ended_at = time.monotonic()
--- a/tests/soak/cuts.py
+++ b/tests/soak/cuts.py
@@ -1,4 +1,4 @@
-"""Hosts that are cut off from all upstreams, and how callers are served."""
+"""Hosts that are cut off from all upstreams, and the service they provide."""
 
 import asyncio
 import time
@@ -12,12 +12,13 @@
     from soak.faults import Scene
     from soak.ledger import Try
 
-# Time after the begin of a cut from which on callers are owed to be served, as
-# the users' pages have it, and for how long it goes on after that.
+# The documented time after the start of a cut by which callers must be served
+# again, and how long the cut lasts after that.
 CONTACT_SECONDS = 4.0
 JUDGED_SECONDS = 3.0
-# Share of first tries served beside that at other hosts, and failures that are
-# borne besides: the users' rule wants both exceeded.
+# Minimum ratio of the success rate at hosts that are cut off to that at other
+# hosts, and the failures that are tolerated. The documented rule is violated
+# only if both are exceeded.
 LEAST_SHARE = 2 / 3
 BORNE_FAILURES = 10
 BORNE_SHARE = 1 / 50
@@ -25,13 +26,13 @@
 
 @dataclass
 class CutOff:
-    """A time in which some hosts reach no upstream.
+    """A period in which some hosts reach no upstream.
 
     Attributes:
         hosts: Names of the hosts.
-        way: How they are cut off.
-        begin: Monotonic time from which on their callers are owed an answer.
-        end: When the cut ended.
+        way: How their connections are cut.
+        begin: Monotonic time from which their callers must be served.
+        end: Monotonic time at which the cut ended.
     """
 
     hosts: frozenset[str]
@@ -42,10 +43,10 @@
     end: float = float('-inf')
 
     def check(self, tries: Iterable['Try']) -> list[str]:
-        """Return what was broken, in words.
+        """Return a description of each violation.
 
         Args:
-            tries: All first tries of callers.
+            tries: All requests of callers.
         """
         sent = [one for one in tries if self.begin <= one.sent_at < self.end]
         here = [one for one in sent if _host(one) in self.hosts]
@@ -61,7 +62,7 @@
 
 
 async def cut_off(scene: 'Scene') -> None:
-    """Cut one to half of the hosts off from all upstreams for a while."""
+    """Cut off up to half of the hosts from all upstreams for a while."""
     async with scene.cutting:
         most = max(1, len(scene.gateways) // 2)
         amount = scene.random.randint(1, most)
--- a/tests/soak/keys.py
+++ b/tests/soak/keys.py
@@ -1,11 +1,11 @@
-"""API keys of a play: one that all versions hold, and one of each version."""
+"""API keys of a play: one in all versions, and one specific to each version."""
 
 ORGANISATION = 'choir'
-# Requests below it need an API key.
+# Path prefix of requests that need an API key.
 PRIVATE = '/private/'
 STANDING_KEY = 'standing-key'
 
 
 def key_of(version: int) -> str:
-    """Return the API key that one version alone holds."""
+    """Return the API key that only the given version contains."""
     return f'key-{version}'
--- a/tests/soak/unready.py
+++ b/tests/soak/unready.py
@@ -1,8 +1,8 @@
-"""A program that has not come to handle signals yet."""
+"""A program that has not installed its signal handlers yet."""
 
 import time
 
-# Longer than any test that ends it.
+# Longer than any test that terminates it.
 SECONDS = 600
 
 if __name__ == '__main__':
--- a/tests/soak/weights.py
+++ b/tests/soak/weights.py
@@ -1,4 +1,4 @@
-"""Whether the weights of a split route are kept while nothing is at fault."""
+"""Checks that a split route follows its weights while no fault is active."""
 
 import asyncio
 import time
@@ -7,21 +7,21 @@
 
 from soak.ledger import Kind, Ledger
 
-# Fewer requests say little of shares.
+# Minimum number of requests for a meaningful share.
 LEAST_COUNTED = 240
-# How far a part may be off its weight.
+# Largest difference between a share and its weight.
 TOLERANCE = 0.2
 LOOK_SECONDS = 0.1
 
 
 class Scale:
-    """Weighs what is sent from now on by one version."""
+    """Measures how requests are split from now on, under one version."""
 
     def __init__(self, ledger: Ledger, weights: Mapping[str, float]) -> None:
-        """Begin to count.
+        """Start counting.
 
         Args:
-            ledger: What callers and upstreams saw.
+            ledger: What callers and upstreams observed.
             weights: The weights in force.
         """
         self._ledger = ledger
@@ -29,7 +29,7 @@
         self._begun_at = time.monotonic()
 
     async def wait(self, seconds: float) -> None:
-        """Wait until enough is counted, at most some seconds."""
+        """Wait until enough requests are counted, at most some seconds."""
         end = time.monotonic() + seconds
         while self._count().total() < LEAST_COUNTED:
             if time.monotonic() > end:
@@ -37,7 +37,7 @@
             await asyncio.sleep(LOOK_SECONDS)
 
     def check(self) -> list[str]:
-        """Return the parts that are off their weights, in words."""
+        """Return a description of each share that differs from its weight."""
         count = self._count()
         total = count.total()
         if total < LEAST_COUNTED:
