--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a play: drawn from a seed, in series and overlapping."""
+"""Faults of a play, drawn from a seed; they may overlap."""
 
 import asyncio
 import contextlib
@@ -19,32 +19,32 @@
 from soak.upstreams import HARMFUL, Habits, SoakUpstream
 from soak.versions import marked_configuration
 
-# Longest fault; the shortest is a tenth of it.
+# Longest duration of a fault; the shortest is a tenth of it.
 LONGEST_SECONDS = 4.0
-# An upstream that has said it is leaving serves on for this long.
+# Time for which an upstream keeps serving after it announces that it leaves.
 LEAVING_SECONDS = 4.0
-# The same of one that leaves while connections are silent, and how long they
-# may have been so before.
+# The same for an upstream that leaves while connections are silent, and the
+# longest time for which they have been silent before.
 DEPARTING_SECONDS = 6.0
 SILENT_FOR_SECONDS = 0.5
-# Between two tries of a harmful request, and how long an upstream that ended
-# under it is away.
+# Interval between attempts of a harmful request, and how long an upstream that
+# it terminated refuses connections.
 HARMFUL_SECONDS = 0.2
 AWAY_SECONDS = 0.8
 DELAY_SECONDS = 0.3
-# What an upstream in need names, and for how long: the time from which on it is
-# held to, a window, and some.
+# Rate limits that an upstream may announce in requests per second, and for how
+# long: the time until the limit applies, one window, and a margin.
 LIMITS = (0.5, 1.5, 4.0)
 NAMING_SECONDS = 12.0
-# Shortest and longest pause that an upstream asks for, and how often all of its
-# service do so at once.
+# Shortest and longest pause that an upstream asks for, and the probability that
+# all upstreams of its service ask for it at once.
 PAUSES = (1.5, 4.0)
 WHOLE_SERVICE_SHARE = 0.3
 
 
 @dataclass
 class Scene:
-    """What faults act on."""
+    """The fleet and its surroundings, on which faults act."""
 
     store: StoreStandin
     store_proxies: list[Proxy]
@@ -56,16 +56,16 @@
     version: int = 1
     harmful: int = 0
     ends: set[asyncio.Task[None]] = field(default_factory=set)
-    # What the operator wants now, whatever the store holds.
+    # Zones that the operator wants evacuated, whatever the store contains.
     evacuated: set[str] = field(default_factory=set)
     restoring: asyncio.Lock = field(default_factory=asyncio.Lock)
     silencing: asyncio.Lock = field(default_factory=asyncio.Lock)
     cutting: asyncio.Lock = field(default_factory=asyncio.Lock)
-    # How hosts are cut off from upstreams; drawn if None.
+    # How connections of hosts to upstreams are cut; drawn if None.
     cut_way: CutWay | None = None
 
     def draw_seconds(self) -> float:
-        """Draw how long a fault lasts."""
+        """Draw the duration of a fault in seconds."""
         return self.random.uniform(0.1, 1.0) * LONGEST_SECONDS
 
     def put_configuration(self) -> None:
@@ -78,12 +78,12 @@
         self.version += 1
 
     def evacuate(self, zone: str) -> None:
-        """Have a zone emptied, as the operator does."""
+        """Evacuate a zone, as the operator does."""
         self.evacuated.add(zone)
         self.store.put('evacuations', zone, {})
 
     def end_evacuation(self, zone: str) -> None:
-        """Take a zone back, as the operator does."""
+        """End the evacuation of a zone, as the operator does."""
         self.evacuated.discard(zone)
         if zone in self.store.kind('evacuations').objects:
             self.store.delete('evacuations', zone)
@@ -93,7 +93,7 @@
         self.store.put('servers', upstream.name, upstream.spec(**status))
 
     def deregister(self, name: str) -> None:
-        """Take an entry out if it is there."""
+        """Delete an entry if it exists."""
         if name in self.store.kind('servers').objects:
             self.store.delete('servers', name)
 
@@ -102,7 +102,7 @@
 
 
 async def pause_gateway(scene: Scene) -> None:
-    """Stop a process for a while without its knowing."""
+    """Suspend a process for a while."""
     gateway = scene.random.choice(scene.gateways)
     gateway.send(signal.SIGSTOP)
     await asyncio.sleep(scene.draw_seconds())
@@ -110,23 +110,23 @@
 
 
 async def kill_gateway(scene: Scene) -> None:
-    """Kill a process and start it again."""
+    """Kill a process and restart it."""
     await _restart(scene, scene.random.choice(scene.gateways))
 
 
 async def kill_many(scene: Scene) -> None:
-    """Kill half of the processes at one moment."""
+    """Kill half of the processes at once and restart them."""
     half = scene.random.sample(scene.gateways, len(scene.gateways) // 2)
     await asyncio.gather(*(_restart(scene, one) for one in half))
 
 
 async def kill_all(scene: Scene) -> None:
-    """Kill all processes at one moment; no host has what the others lack."""
+    """Kill all processes at once, so that no host keeps any state."""
     await asyncio.gather(*(_restart(scene, one) for one in scene.gateways))
 
 
 async def start_with_late_seeds(scene: Scene) -> None:
-    """Kill all processes; those that the others greet first start last."""
+    """Kill all processes and restart the seeds last."""
     ended = [one for one in scene.gateways if one.is_running]
     await asyncio.gather(*(one.end() for one in ended))
     seeds = scene.gateways[:SEEDS]
@@ -136,7 +136,7 @@
 
 
 async def start_without_store(scene: Scene) -> None:
-    """Kill half of the processes and start them while the store is away."""
+    """Kill half of the processes and restart them without the store."""
     scene.store.status = 503
     await kill_many(scene)
     await asyncio.sleep(scene.draw_seconds() / 2)
@@ -144,7 +144,7 @@
 
 
 async def lose_power(scene: Scene) -> None:
-    """End all processes and a zone's upstreams, which come back cold."""
+    """Kill all processes and a zone's upstreams, which restart cold."""
     zone = scene.random.choice(scene.zones)
     lost = [one for one in scene.upstreams if one.zone == zone]
     for upstream in lost:
@@ -167,17 +167,17 @@
 
 
 async def hang_up(scene: Scene) -> None:
-    """Have a process read its settings again."""
+    """Have a process reload its settings."""
     await scene.random.choice(scene.gateways).hang_up()
 
 
 async def cut_store(scene: Scene) -> None:
-    """Harm the way of one gateway to the store."""
+    """Disturb the path of one gateway to the store."""
     await _harm(scene, scene.random.choice(scene.store_proxies))
 
 
 async def cut_store_for_many(scene: Scene) -> None:
-    """Harm the way of half of the gateways to the store."""
+    """Disturb the paths of half of the gateways to the store."""
     half = scene.random.sample(
         scene.store_proxies,
         len(scene.store_proxies) // 2,
@@ -186,7 +186,7 @@
 
 
 async def cut_upstream(scene: Scene) -> None:
-    """Harm the way of all gateways to an upstream."""
+    """Disturb the paths of all gateways to one upstream."""
     await _harm(scene, scene.random.choice(scene.upstreams).proxy)
 
 
@@ -195,19 +195,19 @@
     proxy.set_mode(mode, DELAY_SECONDS)
     await asyncio.sleep(scene.draw_seconds())
     proxy.set_mode(Mode.carry)
-    # What was swallowed is gone for good: its connections end.
+    # Discarded bytes are lost, so their connections are reset.
     proxy.reset_all()
 
 
 async def store_down(scene: Scene) -> None:
-    """Let the store refuse everything."""
+    """Have the store reject all requests."""
     scene.store.status = 503
     await asyncio.sleep(scene.draw_seconds())
     scene.store.status = None
 
 
 async def store_forgets(scene: Scene) -> None:
-    """Let watches hang and the store drop its history."""
+    """Silence watches, then have the store compact its history."""
     scene.store.silence_watches()
     await asyncio.sleep(scene.draw_seconds() / 2)
     for kind in tuple(scene.store.kinds):
@@ -215,18 +215,18 @@
 
 
 async def crash_upstream(scene: Scene) -> None:
-    """Crash an upstream; another run takes over its address."""
+    """Crash an upstream; its next incarnation takes over the address."""
     upstream = scene.random.choice(scene.upstreams)
     name = upstream.name
     upstream.crash()
-    # Its entry stays for a while.
+    # The entry of the old incarnation stays for a while.
     await asyncio.sleep(scene.draw_seconds())
     scene.deregister(name)
     scene.register(upstream)
 
 
 async def name_limit(scene: Scene) -> None:
-    """Let an upstream name a limit, and another one or none after a while."""
+    """Have an upstream announce a rate limit, or two in sequence."""
     upstream = scene.random.choice(scene.upstreams)
     for _ in range(scene.random.randint(1, 2)):
         rate = scene.random.choice(LIMITS)
@@ -236,13 +236,13 @@
         upstream.naming = naming
         await asyncio.sleep(NAMING_SECONDS)
         if upstream.naming is not naming:
-            # It has ended meanwhile.
+            # The upstream has exited or announced another limit meanwhile.
             return
     upstream.naming = None
 
 
 async def send_harmful(scene: Scene) -> None:
-    """Send a request that ends each upstream running it, again and again."""
+    """Repeatedly send a request that terminates each upstream running it."""
     scene.harmful += 1
     number = scene.harmful
     target = f'/read{HARMFUL}{number}'
@@ -293,7 +293,7 @@
 
 
 async def drain_upstream(scene: Scene) -> None:
-    """Let an upstream leave as planned, and the next run begin."""
+    """Have an upstream drain, leave and restart as planned."""
     upstream = scene.random.choice(scene.upstreams)
     name = upstream.name
     scene.register(upstream, state='draining')
@@ -301,9 +301,9 @@
 
 
 async def silence_connections(scene: Scene) -> None:
-    """Silence what is open to the store for good; an upstream leaves then."""
+    """Silence open connections to the store; then an upstream leaves."""
     async with scene.silencing:
-        # Bounds hold some time after each silence, so one comes at a time.
+        # Bounds apply only some time after each silence, so one runs at a time.
         await _silence_and_leave(scene, scene.random.choice(scene.upstreams))
 
 
@@ -326,7 +326,7 @@
 
 
 async def leave_unregistered(scene: Scene) -> None:
-    """Let an upstream leave that says so in its answers alone."""
+    """Have an upstream leave that announces it in its answers only."""
     upstream = scene.random.choice(scene.upstreams)
     await _leave(scene, upstream, upstream.name)
 
@@ -345,7 +345,7 @@
 
 
 async def ask_pause(scene: Scene) -> None:
-    """Let one upstream, or all of its service, ask for a pause for a while."""
+    """Have one upstream, or all of its service, ask for a pause."""
     first = scene.random.choice(scene.upstreams)
     is_whole_service = scene.random.random() < WHOLE_SERVICE_SHARE
     seconds = scene.random.uniform(*PAUSES)
@@ -361,7 +361,7 @@
     await asyncio.sleep(scene.draw_seconds())
     for _, pausing in began:
         pausing.is_rejecting = False
-    # What it asked for last is over then.
+    # The pause that was asked for last ends after this time.
     await asyncio.sleep(seconds)
     for upstream, pausing in began:
         if upstream.pausing is pausing:
@@ -369,7 +369,7 @@
 
 
 async def ail_upstream(scene: Scene) -> None:
-    """Let an upstream be slow, lose answers or send surplus ones."""
+    """Have an upstream be slow, lose, duplicate or withhold answers."""
     upstream = scene.random.choice(scene.upstreams)
     upstream.habits = scene.random.choice(
         [
@@ -391,7 +391,7 @@
 
 
 async def evacuate(scene: Scene) -> None:
-    """Have a zone emptied for a while."""
+    """Evacuate a zone for a while."""
     zone = scene.random.choice(scene.zones)
     if zone in scene.evacuated:
         return
@@ -401,7 +401,7 @@
 
 
 async def stop_gateway(scene: Scene) -> None:
-    """Stop a process as planned and start it again."""
+    """Stop a process as planned and restart it."""
     gateway = scene.random.choice(scene.gateways)
     if not gateway.is_running:
         return
@@ -411,7 +411,7 @@
     await gateway.start()
 
 
-# Planned work: by itself it may cut no request.
+# Planned operations, which must not interrupt any request by themselves.
 PLANNED: tuple[Fault, ...] = (
     stop_gateway,
     hang_up,
@@ -431,7 +431,7 @@
     ail_upstream,
     evacuate,
 )
-# What hosts meet that have to find each other anew.
+# Restarts after which hosts have to discover each other again.
 HERDS: tuple[Fault, ...] = (
     kill_all,
     start_with_late_seeds,
@@ -439,33 +439,33 @@
 )
 
 
-# What makes hosts and upstreams start beside one another; listed twice, which
-# makes it one fault in sixteen.
+# Hosts and upstreams start at the same time. Listed twice, which makes it one
+# fault in sixteen.
 POWER: tuple[Fault, ...] = (lose_power, lose_power)
 
 
-# A harmful request beside one other fault, or alone.
+# A harmful request, alone or along with other faults.
 HARM_FAULTS: tuple[Fault, ...] = (send_harmful,)
 
 
-# Upstreams that leave, or want no requests for a time, and say so in answers.
+# Upstreams that announce in answers that they leave or need a pause.
 NOTICE_FAULTS: tuple[Fault, ...] = (leave_unregistered, ask_pause)
 
 
-# Upstreams that name limits, alone or beside others.
+# Upstreams that announce rate limits, alone or along with other faults.
 LIMIT_FAULTS: tuple[Fault, ...] = (name_limit,)
 
 
-# Open connections to the store that carry nothing more while new ones work.
+# Open connections to the store carry no more data while new ones work.
 SILENCE_FAULTS: tuple[Fault, ...] = (silence_connections,)
 
 
-# Hosts that reach no upstream.
+# Hosts are cut off from all upstreams.
 CUT_FAULTS: tuple[Fault, ...] = (cut_off,)
 
 
 class Schedule:
-    """Applies drawn faults until time is up, some at once."""
+    """Draws faults and applies them, possibly in parallel."""
 
     def __init__(
         self,
@@ -474,12 +474,12 @@
         *,
         groups: tuple[tuple[Fault, ...], ...],
     ) -> None:
-        """Prepare.
+        """Create a schedule.
 
         Args:
-            scene: What the faults act on.
-            gap: Mean seconds from one fault's begin to the next.
-            groups: Faults that are drawn from; each group is as likely.
+            scene: The scene on which faults act.
+            gap: Mean seconds between the starts of faults.
+            groups: Groups of faults to draw from; all are equally likely.
         """
         self._groups = groups
         self.applied: list[str] = []
@@ -488,13 +488,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Begin faults for some seconds, then wait until all have ended.
+        """Start faults for some seconds, then wait until all have ended.
 
-        The seconds are those of the gaps. By the clock a busy machine, which
-        wakes up late, began fewer faults than the seed draws.
+        The seconds are the sum of the drawn gaps rather than clock time: on a
+        busy machine with late wake-ups, clock time led to fewer faults than the
+        seed determines.
 
         Args:
-            seconds: Sum of the gaps from which on no fault begins.
+            seconds: Sum of the gaps from which no further fault starts.
         """
         random = self._scene.random
         begins_at = 0.0
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What callers and upstreams saw, and whether the promises were kept."""
+"""What callers and upstreams observed, and checks of the guarantees."""
 
 import time
 from dataclasses import dataclass, field
@@ -7,44 +7,47 @@
 from soak.cuts import CutOff
 from soak.notices import Arrival, Departure, Leaving, Pausing
 
-# Requests that a cold upstream bears in a second: four, by half more, and two.
-# Hosts that keep to it send half of that; few callers are enough to exceed it.
+# Requests per second that a cold upstream may receive: the rate of 4, plus half
+# of it, plus 2. Hosts that comply send half of that, and few callers suffice to
+# exceed it.
 COLD_RATE = 4.0
 COLD_OVERSHOOT = 1.5
 COLD_SLACK = 2.0
 MOST_COLD = int(COLD_RATE * COLD_OVERSHOOT + COLD_SLACK)
-# Name of the fault by which a caller sends such a request.
+# Name of the fault in which a caller sends a harmful request.
 HARM = 'send_harmful'
-# A request that has ended three upstreams may end three more later than this,
-# which is the time of contact that gateways take when nothing else is said.
+# After a request has terminated ENDED_BEFORE upstreams, it may terminate at
+# most MOST_ENDED_LATE more once KNOWN_SECONDS, the default contact time of
+# gateways, have passed.
 KNOWN_SECONDS = 4.0
 ENDED_BEFORE = 3
 MOST_ENDED_LATE = 3
-# Name of the fault by which an upstream names a limit, and what it bears of it:
-# half more than it names and five requests in any four seconds, from four
-# seconds after it first named it, also by what hosts do that were just started.
+# Name of the fault in which an upstream announces a rate limit, and the
+# requests that it tolerates: in any window of 4 s, one and a half times the
+# limit plus 5 requests, from 4 s after the first announcement. Requests from
+# hosts that have just started count as well.
 LIMIT = 'name_limit'
 LIMIT_OVERSHOOT = 1.5
 LIMIT_SLACK = 5
 LIMIT_SECONDS = 4.0
-# Statuses by which a caller is told that its request has not run.
+# Statuses that report to the caller that its request has not run.
 PROMISES = frozenset((408, 421, 429, 503))
 
 
 class Kind(StrEnum):
-    """What a request may bear."""
+    """How a request may be run."""
 
     safe = 'safe'
     once = 'once'
-    # Safe as well, and divided among services by weight.
+    # Safe as well, and split among services by weight.
     divided = 'divided'
-    # A request that only tells which version is in force.
+    # Only shows which configuration version is in force.
     probe = 'probe'
 
 
 @dataclass
 class Run:
-    """A run of a request at an upstream."""
+    """An execution of a request by an upstream."""
 
     upstream: str
     at: float
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True)
 class ColdArrival:
-    """A request that came to an upstream while it was cold."""
+    """A request that arrived at an upstream while it was cold."""
 
     sent_at: float
     at: float
@@ -66,13 +69,15 @@
 
     Attributes:
         request_id: Its id.
-        kind: What it may bear.
-        gateway: Name of the gateway's life that it was sent to.
-        sent_at: When it had been sent whole.
-        ended_at: When its answer had come, or its connection ended.
-        status: Status of its answer; 0 if there was none.
+        kind: How it may be run.
+        gateway: Name of the gateway process that it was sent to.
+        sent_at: Monotonic time at which it was recorded, just before sending.
+        ended_at: Monotonic time at which its answer was complete or its
+            connection closed.
+        status: Status of its answer; 0 if the connection closed without one,
+            -1 if the caller got no outcome.
         body: Body of its answer.
-        runs: Its runs.
+        runs: Its executions by upstreams.
     """
 
     request_id: str
@@ -87,7 +92,7 @@
 
 @dataclass
 class Span:
-    """A time in which something was at fault."""
+    """A period in which a fault was active."""
 
     name: str
     begin: float
@@ -96,13 +101,13 @@
 
 @dataclass
 class Naming:
-    """A time in which an upstream names a limit.
+    """A period in which an upstream announces a rate limit.
 
     Attributes:
         upstream: Its name.
-        rate: Requests a second.
-        begin: When it first did.
-        came: When requests came since.
+        rate: Requests per second.
+        begin: Monotonic time of the first announcement.
+        came: Monotonic times at which requests arrived since.
     """
 
     upstream: str
@@ -112,25 +117,25 @@
 
     @property
     def borne(self) -> float:
-        """Requests that it bears in a window."""
+        """Requests that it tolerates in a window."""
         return self.rate * LIMIT_OVERSHOOT * LIMIT_SECONDS + LIMIT_SLACK
 
 
 @dataclass
 class Ledger:
-    """All tries of a play, and what was at fault meanwhile.
+    """All requests of a play, and the faults during it.
 
     Attributes:
-        tries: By id.
-        unknown: Ids that upstreams ran and no caller sent.
-        broken: Promises found broken while the play runs.
-        spans: Times of faults.
-        cuts: Times in which hosts reach no upstream.
-        stopped: Lives of gateways that were asked to stop and nothing else.
-        cold: What came to each upstream while it was cold.
-        ended: When upstreams ended under each harmful request.
-        named: Limits that upstreams named.
-        notices: Upstreams that said what they take.
+        tries: Requests by id.
+        unknown: Ids of requests that an upstream ran but no caller sent.
+        broken: Violations found while the play runs.
+        spans: Periods in which faults were active.
+        cuts: Periods in which hosts reach no upstream.
+        stopped: Names of gateway processes that got a planned stop.
+        cold: Arrivals at each upstream while it was cold.
+        ended: Monotonic times at which upstreams exited, by harmful request.
+        named: Rate limits that upstreams announced.
+        notices: Notices that upstreams sent.
     """
 
     tries: dict[str, Try] = field(default_factory=dict)
@@ -145,25 +150,25 @@
     notices: list[Leaving | Pausing | Departure] = field(default_factory=list)
 
     def begin(self, request_id: str, kind: Kind, gateway: str) -> Try:
-        """Note a request that is about to be sent."""
+        """Record a request that is about to be sent."""
         made = Try(request_id, kind, gateway, sent_at=time.monotonic())
         self.tries[request_id] = made
         return made
 
     def arrival(self, request_id: str) -> Arrival | None:
-        """Return the arrival of a request now; None if no caller sent it."""
+        """Return an arrival of a request now, or None if no caller sent it."""
         known = self.tries.get(request_id)
         return None if known is None else Arrival(known, time.monotonic())
 
     def note_cold(self, request_id: str, upstream: str) -> None:
-        """Note that a request has come to a cold upstream."""
+        """Record that a request arrived at a cold upstream."""
         known = self.tries.get(request_id)
         if known is not None:
             came = ColdArrival(known.sent_at, time.monotonic())
             self.cold.setdefault(upstream, []).append(came)
 
     def note_end_under(self, line: str) -> None:
-        """Note that an upstream ends under a harmful request."""
+        """Record that an upstream exits because of a harmful request."""
         self.ended.setdefault(line, []).append(time.monotonic())
 
     def note_run(
@@ -172,7 +177,7 @@
         upstream: str,
         service: str = '',
     ) -> Run | None:
-        """Note that an upstream has begun to work on a request."""
+        """Record that an upstream has started to run a request."""
         known = self.tries.get(request_id)
         if known is None:
             self.unknown.append(request_id)
@@ -182,13 +187,13 @@
         return run
 
     def fault(self, name: str) -> Span:
-        """Note that a fault begins."""
+        """Record the start of a fault."""
         span = Span(name, time.monotonic())
         self.spans.append(span)
         return span
 
     def check(self) -> list[str]:
-        """Return the promises that were broken, in words."""
+        """Return a description of each violated guarantee."""
         found = list(self.broken)
         found.extend(f'ran unasked: {name}' for name in self.unknown)
         found.extend(self._check_cold())
@@ -208,7 +213,7 @@
         return found
 
     def tell_limits(self) -> list[str]:
-        """Return how near each limit was to being exceeded, in words."""
+        """Return a description of the utilization of each rate limit."""
         return [
             f'{one.upstream} named {one.rate}: {self._most_of(one)} of '
             f'{len(one.came)} in {LIMIT_SECONDS} s where {one.borne} are borne'
@@ -246,7 +251,7 @@
         ]
 
     def _most_of(self, naming: Naming) -> int:
-        """Return what came most in a window in which a limit had to hold."""
+        """Return the most arrivals in any window in which a limit applied."""
         counts = [
             sum(1 for at in naming.came if first <= at < first + LIMIT_SECONDS)
             for first in naming.came
@@ -257,7 +262,7 @@
         return max(counts, default=0)
 
     def _is_calm(self, at: float, besides: str) -> bool:
-        """Return whether nothing else kept hosts from knowing at a time."""
+        """Return whether no other fault kept hosts from being up to date."""
         return not any(
             span.begin < at and span.end > at - KNOWN_SECONDS
             for span in self.spans
@@ -276,9 +281,10 @@
 
 
 def _in_second(came: list[ColdArrival], begin: float) -> int:
-    """Count what was sent and came within a second.
+    """Count requests that were both sent and received within a second.
 
-    What was sent before and held up on the way says nothing of the senders.
+    Requests that were sent earlier and delayed on the path don't show the rate
+    of the senders.
     """
     return sum(1 for one in came if begin <= one.sent_at and one.at < begin + 1)
 
@@ -287,7 +293,7 @@
     found = []
     if one.kind is Kind.once and len(one.runs) > 1:
         found.append(f'ran {len(one.runs)} times: {one}')
-    # A safe request may have run at an upstream before another turned it away.
+    # A safe request may have run at one upstream before another rejected it.
     if one.status in PROMISES and one.kind is Kind.once and one.runs:
         found.append(f'told that it has not run, but it has: {one}')
     if one.status == 200:
--- a/tests/soak/notices.py
+++ b/tests/soak/notices.py
@@ -1,4 +1,4 @@
-"""Notices that upstreams give in answers, and whether gateways heeded them."""
+"""Notices that upstreams send, and checks that gateways comply with them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,30 +9,32 @@
 if TYPE_CHECKING:
     from soak.ledger import Span, Try
 
-# What gateways take when nothing else is said.
+# The default of gateways.
 DRAIN_SECONDS = Bounds().drain_seconds
-# What gateways are held to where connections fall silent.
+# Bounds of gateways in plays in which connections fall silent.
 NEWS_BOUNDS = Bounds(
     drain_seconds=2.5,
     apply_seconds=2.5,
     evacuate_seconds=2.5,
     contact_seconds=3.0,
 )
-# What may come during a pause, from this long after it was asked for.
+# Requests tolerated per gateway during a pause, counted from SLACK_SECONDS
+# after the upstream asked for it.
 MOST_IN_PAUSE = 2
 SLACK_SECONDS = 0.5
-# Faults that excuse a gateway, by name; its restart is another life.
+# Names of the faults that excuse a gateway. Restarts are not among them, since
+# a restarted gateway counts as a new process.
 FREEZE = frozenset(('pause_gateway',))
 CUTS = FREEZE | {'cut_upstream'}
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request that came to an upstream which gives a notice.
+    """A request that arrived at an upstream which has sent a notice.
 
     Attributes:
-        request: The caller's try.
-        at: When it came.
+        request: The request as the caller sent it.
+        at: Monotonic time of arrival.
     """
 
     request: 'Try'
@@ -41,12 +43,12 @@
 
 @dataclass
 class Leaving:
-    """One life of an upstream that announces its end in its answers.
+    """An upstream process that announces in its answers that it is leaving.
 
     Attributes:
         upstream: Its name.
-        came: What came since it first said so.
-        answered: Tries that it has answered so.
+        came: Arrivals since its first announcement.
+        answered: Requests whose answers carried the announcement.
     """
 
     upstream: str
@@ -54,7 +56,7 @@
     answered: list['Try'] = field(default_factory=list)
 
     def check(self, spans: list['Span']) -> list[str]:
-        """Return requests that came too late after a notice, in words."""
+        """Return a description of each request sent too late after a notice."""
         told: dict[str, float] = {}
         for one in self.answered:
             if one.status == 200:
@@ -71,14 +73,14 @@
 
 @dataclass
 class Pausing:
-    """A time in which an upstream rejects all and asks for a pause.
+    """A period in which an upstream rejects all requests and asks for a pause.
 
     Attributes:
         upstream: Its name.
-        seconds: How long a pause it asks for.
-        came: What came since, also after it takes requests again.
-        rejected: What it turned away.
-        is_rejecting: Whether it still does so.
+        seconds: Length of the pause that it asks for.
+        came: Arrivals since, including those after it accepts requests again.
+        rejected: Arrivals that it rejected.
+        is_rejecting: Whether it still rejects requests.
     """
 
     upstream: str
@@ -88,7 +90,7 @@
     is_rejecting: bool = True
 
     def check(self, spans: list['Span']) -> list[str]:
-        """Return how often gateways sent more than a pause bears, in words."""
+        """Return a description of each gateway that ignored a pause."""
         most: dict[str, int] = {}
         for asked in self.rejected:
             begin = asked.at + SLACK_SECONDS
@@ -112,13 +114,14 @@
 
 @dataclass
 class Departure:
-    """An upstream that drains by its entry while connections fall silent.
+    """An upstream whose entry says draining while connections fall silent.
 
     Attributes:
         upstream: Its name.
-        silenced_at: When open connections to the store fell silent.
-        written_at: When its entry said that it drains.
-        came: What came since.
+        silenced_at: Monotonic time at which open connections to the store
+            fell silent.
+        written_at: Monotonic time at which the draining entry was written.
+        came: Arrivals since.
     """
 
     upstream: str
@@ -127,7 +130,7 @@
     came: list[Arrival] = field(default_factory=list)
 
     def check(self, spans: list['Span']) -> list[str]:
-        """Return requests that came too late after the entry, in words."""
+        """Return a description of each request sent too late after it."""
         due = max(
             self.written_at + NEWS_BOUNDS.drain_seconds,
             self.silenced_at + NEWS_BOUNDS.contact_seconds,
@@ -143,7 +146,7 @@
 
 
 def _late(arrival: Arrival, told: Mapping[str, float]) -> float:
-    """Return how long after the gateway was told a request was sent."""
+    """Return the seconds from the notice to the gateway until a request."""
     request = arrival.request
     return request.sent_at - told.get(request.gateway, request.sent_at)
 
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -1,8 +1,9 @@
 """One play: a fleet of real processes, callers, faults, and the verdict.
 
-While it runs, faults are injected from outside; when they have ended, the
-fleet has to serve again, with the newest version in force on every host. Then
-everything that callers and upstreams saw is checked against the promises.
+Faults are injected from outside while the play runs. After the last one the
+fleet has to recover, with the newest configuration version in force on every
+host. Then everything that callers and upstreams observed is checked against the
+guarantees.
 """
 
 import asyncio
@@ -39,13 +40,13 @@
 from soak.weights import Scale
 
 GATEWAY = 'wardstair.cli.gateway'
-# The same, with an address by which proxies know it.
+# The same, bound to a source address by which proxies identify the host.
 BOUND = 'soak.bound'
 ZONES = {'east-a': 'east', 'east-b': 'east', 'west-a': 'west'}
-# The store comes back from a copy, alone or beside others.
+# The store is restored from a copy, alone or along with other faults.
 RESTORE_FAULTS: tuple[Fault, ...] = (restore_store,)
-# Everything has to be well again this long after the last fault. The bounds
-# of the promises are a tenth of it; this only ends a play that has failed.
+# Timeout of the recovery after the last fault. The guaranteed bounds are a
+# tenth of it; this only ends a play that has failed.
 RECOVERY_SECONDS = 60.0
 START_SECONDS = 60.0
 LOOK_SECONDS = 0.1
@@ -53,34 +54,36 @@
 
 @dataclass
 class Plan:
-    """What is played.
+    """Parameters of a play.
 
     Attributes:
-        seed: Draws the faults.
-        seconds: How long faults begin, by the gaps that are drawn.
-        hosts: How many gateways.
-        upstreams: How many upstreams.
-        callers: How many callers.
-        gap: Mean seconds between the begins of faults.
-        lost_share: Share of answers that a well upstream loses.
-        cold_seconds: How long an upstream that starts is cold.
-        module: Program that is run as a gateway.
-        with_herds: Whether hosts have to find each other anew.
-        with_power: Whether hosts and upstreams lose power together.
-        only_power: Whether nothing else happens.
-        with_harm: Whether requests come that end upstreams.
-        only_harm: Whether nothing else happens.
-        with_limits: Whether upstreams name limits.
-        only_limits: Whether nothing else happens.
-        with_notices: Whether upstreams leave or ask for pauses in answers.
-        only_notices: Whether nothing else happens.
-        with_restores: Whether the store comes back from copies.
-        only_restores: Whether nothing else happens.
-        only_silence: Whether open connections to the store fall silent, and
-            nothing else happens.
-        only_cuts: Whether hosts are cut off from upstreams, and nothing else
-            happens.
-        cut_way: How they are cut off; drawn if None.
+        seed: Seed from which faults are drawn.
+        seconds: Length of the fault phase, as a sum of drawn gaps.
+        hosts: Number of gateways.
+        upstreams: Number of upstreams.
+        callers: Number of callers.
+        gap: Mean seconds between the starts of faults.
+        lost_share: Share of answers that a healthy upstream loses.
+        cold_seconds: How long an upstream is cold after its start.
+        module: Module that is run as a gateway.
+        with_herds: Whether faults include restarts after which hosts have to
+            discover each other again.
+        with_power: Whether faults include power losses of hosts and upstreams.
+        only_power: Whether power losses are the only faults.
+        with_harm: Whether faults include requests that terminate upstreams.
+        only_harm: Whether harmful requests are the only faults.
+        with_limits: Whether faults include upstreams that announce rate limits.
+        only_limits: Whether rate limits are the only faults.
+        with_notices: Whether faults include upstreams whose answers announce
+            that they leave or ask for a pause.
+        only_notices: Whether such notices are the only faults.
+        with_restores: Whether faults include restores of the store.
+        only_restores: Whether restores are the only faults.
+        only_silence: Whether the only fault is that open connections to the
+            store fall silent.
+        only_cuts: Whether the only fault is that hosts are cut off from
+            upstreams.
+        cut_way: How connections are cut; drawn if None.
     """
 
     seed: int
@@ -109,12 +112,12 @@
 
     @property
     def program(self) -> str:
-        """Module that is run, so that cuts know whose connections are whose."""
+        """Module to run; cuts need one that binds a source address."""
         return BOUND if self.only_cuts else self.module
 
     @property
     def groups(self) -> tuple[tuple[Fault, ...], ...]:
-        """Faults that are drawn from; each group is as likely."""
+        """Groups of faults to draw from; all groups are equally likely."""
         if self.only_power:
             return (POWER,)
         if self.only_harm:
@@ -141,13 +144,13 @@
 
 @dataclass
 class Verdict:
-    """What a play has shown.
+    """The result of a play.
 
     Attributes:
-        broken: Broken promises in words; none if all were kept.
-        statuses: How tries ended: by status, 0 and -1 for none.
-        faults: Faults in the order in which they began.
-        limits: How near each limit that an upstream named was, in words.
+        broken: Descriptions of violated guarantees; empty if there are none.
+        statuses: Number of requests by status; 0 and -1 mean no answer.
+        faults: Names of the faults in the order in which they started.
+        limits: Descriptions of the utilization of announced rate limits.
     """
 
     broken: list[str] = field(default_factory=list)
@@ -157,14 +160,14 @@
 
 
 class Play:
-    """A fleet with all that is around it; an asynchronous context."""
+    """A fleet and its surroundings, as an asynchronous context manager."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
-        """Prepare without a process.
+        """Create a play without starting any process.
 
         Args:
-            plan: What is played.
-            folder: Where settings and logs go.
+            plan: Parameters of the play.
+            folder: Directory for settings and logs.
         """
         self.ledger = Ledger()
         self.store = StoreStandin()
@@ -188,7 +191,7 @@
         ]
 
     async def __aenter__(self) -> 'Play':
-        """Start everything and wait until it serves."""
+        """Start the store, upstreams, proxies and gateways."""
         self.store.start()
         self.store.put('config', 'main', marked_configuration(1))
         for upstream in self._upstreams:
@@ -214,7 +217,7 @@
         return self
 
     async def __aexit__(self, *_exc: object) -> None:
-        """End what this play has started, and nothing else."""
+        """Stop what this play has started, and nothing else."""
         for gateway in self._gateways:
             await gateway.end()
         for upstream in self._upstreams:
@@ -224,7 +227,7 @@
         await self.store.stop()
 
     async def run(self) -> Verdict:
-        """Play and judge."""
+        """Run the play and return its verdict."""
         scene = Scene(
             self.store,
             self._store_proxies,
@@ -254,7 +257,7 @@
         scene.put_configuration()
         await self._wait_well(probes, 'recovery', RECOVERY_SECONDS)
         if not self.ledger.check():
-            # What is broken already needs no quiet time to show.
+            # A play that has failed already skips the long check of weights.
             await self._weigh(scene, probes)
         if self._plan.with_restores:
             await check_evacuation(scene, self._upstreams, self.ledger)
@@ -269,7 +272,7 @@
         )
 
     async def _weigh(self, scene: Scene, probes: list[VersionProbe]) -> None:
-        """Change weights twice in quiet, and see whether they are kept."""
+        """Change weights twice without faults and check the split."""
         end = max(one.cold_until for one in self._upstreams)
         await asyncio.sleep(max(0.0, end - time.monotonic()))
         if scene.version % 2:
@@ -301,7 +304,7 @@
         moment: str,
         seconds: float,
     ) -> None:
-        """Wait until every gateway serves by the newest version."""
+        """Wait until the newest version is in force on every gateway."""
         waiting = [
             asyncio.ensure_future(self._wait_one(probe)) for probe in probes
         ]
@@ -322,11 +325,11 @@
 
 
 async def play(plan: Plan, folder: Path) -> Verdict:
-    """Play once.
+    """Run one play.
 
     Args:
-        plan: What is played.
-        folder: Where settings and logs go.
+        plan: Parameters of the play.
+        folder: Directory for settings and logs.
     """
     async with Play(plan, folder) as started:
         return await started.run()
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -1,4 +1,4 @@
-"""Gateway processes of a play: started, signalled and ended by their ids."""
+"""Gateway processes of a play, which are signalled by process id only."""
 
 import asyncio
 import contextlib
@@ -17,17 +17,17 @@
 
 TESTS = Path(__file__).parents[1]
 NAMES = ('callers', 'ready', 'control', 'lookups', 'metrics')
-# Hosts that the others greet first.
+# Number of hosts that are listed as seeds.
 SEEDS = 3
 GRACE_SECONDS = 5
-# Time of a process to end by a signal, or to be ready for the next one.
+# Time for a process to exit on SIGHUP, or to be ready for the next one.
 HUNG_UP_SECONDS = 0.3
 MILLISECONDS = 1000
 
 
 @dataclass
 class Place:
-    """Where a gateway runs; its process may be another each time."""
+    """Where a gateway runs; restarts change its process only."""
 
     name: str
     zone: str
@@ -39,10 +39,10 @@
 
 
 class GatewayProcess:
-    """One gateway, over all lives of its process."""
+    """One gateway across restarts of its process."""
 
     def __init__(self, place: Place, module: str) -> None:
-        """Prepare without a process.
+        """Create a gateway without starting its process.
 
         Args:
             place: Where it runs.
@@ -53,14 +53,14 @@
         self._module = module
         self._process: Process | None = None
         self._starting = asyncio.Lock()
-        # Size of the log when the present life began.
+        # Size of the log in bytes when the current process was started.
         self._logged = 0
-        # How long an end by a hang-up is waited for.
+        # How long to wait for an exit on SIGHUP.
         self.hung_up_seconds = HUNG_UP_SECONDS
 
     @property
     def name(self) -> str:
-        """Names its present life."""
+        """Name of its current process."""
         return f'{self.place.name}/{self.life}'
 
     @property
@@ -70,23 +70,24 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process is there."""
+        """Whether the process is running."""
         process = self._process
         return process is not None and process.returncode is None
 
     async def start(self) -> None:
-        """Start the program as the platform does, unless it runs."""
+        """Start the program as the platform does, unless it is running."""
         async with self._starting:
-            # Two faults may both want to start it again.
+            # Two concurrent faults may both restart it.
             if not self.is_running:
                 await self._start()
 
     async def hang_up(self) -> None:
-        """Have the process read its settings again.
+        """Send SIGHUP, on which the process reloads its settings.
 
-        Until the program runs its first line a hang-up ends the process, which
-        the platform then starts again. One that has written a line may not be
-        ended by it, and stays away.
+        Until the program runs its first line, SIGHUP terminates the process,
+        and the platform restarts it. SIGHUP must not terminate a process that
+        has written a log line; such a process is not restarted here, so that
+        the play fails.
         """
         process = self._process
         self.send(signal.SIGHUP)
@@ -133,12 +134,12 @@
             self._process.send_signal(number)
 
     async def wait(self) -> int:
-        """Wait for the end of the process; return its exit status."""
+        """Wait until the process exits; return its exit status."""
         assert self._process is not None
         return await self._process.wait()
 
     async def end(self) -> None:
-        """End the process, whatever state it is in."""
+        """Kill the process, even if it is stopped."""
         if self.is_running:
             self.send(signal.SIGCONT)
             self.send(signal.SIGKILL)
@@ -146,9 +147,9 @@
 
 
 def _end_by_hang_up() -> None:
-    """Let a hang-up end the program until it handles one, as the platform does.
+    """Restore the default action of SIGHUP, as the platform does.
 
-    A run that was itself started by nohup hands down that it is ignored.
+    A soak that is started by nohup would pass on that SIGHUP is ignored.
     """
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
@@ -159,13 +160,13 @@
     seeds: str,
     held_to: Bounds | None = None,
 ) -> str:
-    """Return the settings file of a gateway.
+    """Return the content of the settings file of a gateway.
 
     Args:
         place: Where it runs.
         zones: Region of each zone.
-        seeds: Whom it greets first.
-        held_to: Bounds on news and contact, if not the defaults.
+        seeds: Addresses of the seeds, quoted and separated by commas.
+        held_to: Bounds on updates and contact, if not the defaults.
     """
     listen = '\n'.join(
         f'{name} = "{place.address}:{port}"'
@@ -212,10 +213,10 @@
 
     Args:
         zones: Region of each zone.
-        hosts: How many gateways.
-        stores: Port by which each of them reaches the store.
-        folder: Where settings and logs go.
-        held_to: Bounds on news and contact, if not the defaults.
+        hosts: Number of gateways.
+        stores: Port of the store for each gateway.
+        folder: Directory for settings and logs.
+        held_to: Bounds on updates and contact, if not the defaults.
     """
     ports = free_ports(len(NAMES) + 1)
     names = sorted(zones)
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -7,20 +7,20 @@
 
 from lib.specs import ADDRESS
 
-# Bytes taken at a time, so that faults take hold in the middle of a body.
+# Bytes per read, small enough for faults to occur in the middle of a body.
 CHUNK = 4096
 
 
 class Mode(StrEnum):
-    """What happens to the bytes."""
+    """How bytes are handled."""
 
     carry = 'carry'
     delay = 'delay'
-    # Connections are reset, also those that are tried.
+    # Open and new connections are reset.
     reset = 'reset'
-    # Nothing arrives any more, and nobody is told.
+    # Bytes are discarded while connections stay open.
     silence = 'silence'
-    # Requests arrive, answers do not.
+    # Requests pass, answers are discarded.
     cut_answers = 'cut-answers'
 
 
@@ -31,27 +31,27 @@
 
 
 class CutWay(StrEnum):
-    """How the connections of one address are cut."""
+    """How the connections from one address are cut."""
 
-    # New connections and open ones carry nothing.
+    # New and open connections carry no data.
     hang = 'hang'
-    # New connections and open ones are reset.
+    # New and open connections are reset.
     reset = 'reset'
-    # New connections are reset, open ones live on.
+    # New connections are reset, open ones keep working.
     reset_new = 'reset-new'
 
 
 class Proxy:
-    """Carries connections to one port."""
+    """Forwards connections to one port."""
 
     def __init__(self, target: int) -> None:
-        """Prepare for a target port on loopback."""
+        """Create a proxy for a target port on loopback."""
         self.mode = Mode.carry
         self.delay = 0.0
         self.port = 0
         self._target = target
         self._server: asyncio.Server | None = None
-        # Connections accepted so far, and how many of them carry nothing.
+        # Connections accepted so far, and how many of them carry no data.
         self._accepted = 0
         self._silenced = 0
         self._cuts: dict[str, CutWay] = {}
@@ -60,12 +60,12 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen on a port of the system's choice."""
+        """Listen on a port chosen by the system."""
         self._server = await asyncio.start_server(self._accept, ADDRESS, 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     async def refuse(self, seconds: float) -> None:
-        """Have nobody listen for a while, as after the end of a process."""
+        """Stop listening for a while, as after the exit of a process."""
         if self._server is None or not self._server.is_serving():
             return
         self._server.close()
@@ -78,14 +78,14 @@
         )
 
     def set_mode(self, mode: Mode, delay: float = 0.0) -> None:
-        """Change what happens from now on."""
+        """Change how bytes are handled from now on."""
         self.mode = mode
         self.delay = delay
         if mode is Mode.reset:
             self.reset_all()
 
     def silence_open(self) -> None:
-        """Have open connections carry nothing more; new ones work."""
+        """Stop carrying data on open connections; new ones work."""
         self._silenced = self._accepted
 
     def reset_all(self) -> None:
@@ -94,14 +94,14 @@
             writer.transport.abort()
 
     def cut(self, addresses: Iterable[str], way: CutWay) -> None:
-        """Cut the connections that come from some addresses."""
+        """Cut the connections from some addresses."""
         for address in addresses:
             self._cuts[address] = way
             if way is CutWay.reset:
                 self._reset_of(address)
 
     def mend(self, addresses: Iterable[str]) -> None:
-        """End cuts; a connection that has lost bytes is reset."""
+        """End cuts; connections that may have lost bytes are reset."""
         for address in addresses:
             if self._cuts.pop(address, None) is CutWay.hang:
                 self._reset_of(address)
--- a/tests/soak/restores.py
+++ b/tests/soak/restores.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy, and whether what follows is in force."""
+"""Restores of the store, and a check that later writes take effect."""
 
 import asyncio
 import time
@@ -10,18 +10,18 @@
 from soak.ledger import Ledger
 from soak.upstreams import SoakUpstream
 
-# Written by the operator and the upstreams; the rest is the hosts' own.
+# Kinds that the operator and the upstreams write; hosts write the others.
 CONFIGURATION = 'config'
 EVACUATIONS = 'evacuations'
 UPSTREAMS = 'servers'
-# Changes that a restore loses beside others, so that numbers are issued again.
+# Additional changes that a restore loses, so that revisions are issued again.
 LOST_CHANGES = 40
 LONGEST_AWAY_SECONDS = 1.0
-# Hosts know by then what was written.
+# Time after which hosts have received what was written.
 KNOWN_SECONDS = 1.0
-# The store drops an entry that nobody renews for three heartbeats.
+# The store expires an entry that is not renewed for three heartbeats.
 LAPSE_SECONDS = 4.5
-# Time after which a zone that is being emptied gets nothing; the users' bound.
+# Documented time after which an evacuated zone gets no requests.
 EVACUATED_SECONDS = 5.0
 WATCHED_SECONDS = 2.0
 
@@ -29,7 +29,7 @@
 async def restore_store(scene: Scene) -> None:
     """Restore the store from a copy some seconds old, once or twice in a row.
 
-    Who wrote what the copy lacks writes it again.
+    The writers of changes that the copy lacks write them again.
     """
     times = scene.random.randint(1, 2)
     async with scene.restoring:
@@ -57,12 +57,12 @@
 
 
 async def _evacuate_shortly(scene: Scene) -> None:
-    """Let hosts know an evacuation, and its end, by numbers that are lost."""
+    """Write an evacuation and its end with revisions that will be lost."""
     zone = scene.random.choice(scene.zones)
     if zone in scene.evacuated:
         return
     scene.evacuate(zone)
-    # Hosts that have just started do not all know it sooner.
+    # Hosts that have just started may receive it only after this long.
     await asyncio.sleep(EVACUATED_SECONDS)
     scene.end_evacuation(zone)
     await asyncio.sleep(KNOWN_SECONDS)
@@ -78,7 +78,7 @@
     copy: StoreCopy,
     lost: StoreCopy,
 ) -> None:
-    """Write what was lost and nobody has changed since the restore."""
+    """Write lost objects again unless they have changed since the restore."""
     copied = _objects(copy, kind)
     present = scene.store.kind(kind).objects
     for name, stored in _objects(lost, kind).items():
@@ -88,7 +88,7 @@
 
 
 def _evacuate_again(scene: Scene) -> None:
-    """Write evacuations, and their ends, that were lost."""
+    """Write lost evacuations and ends of evacuations again."""
     present = set(scene.store.kind(EVACUATIONS).objects)
     for zone in scene.evacuated - present:
         scene.evacuate(zone)
@@ -97,7 +97,7 @@
 
 
 def _drop_silent(scene: Scene) -> None:
-    """Drop entries of upstreams that are not there any more."""
+    """Delete entries of upstreams that no longer exist."""
     living = {one.name for one in scene.upstreams}
     for name in scene.store.kind(UPSTREAMS).objects.keys() - living:
         scene.store.delete(UPSTREAMS, name)
@@ -108,12 +108,12 @@
     upstreams: list[SoakUpstream],
     ledger: Ledger,
 ) -> None:
-    """Empty a zone in quiet and see whether its upstreams get anything.
+    """Evacuate a zone without faults and check that it gets no requests.
 
     Args:
-        scene: With the store, after the last fault.
+        scene: The scene after the last fault.
         upstreams: All upstreams.
-        ledger: Told of a broken promise.
+        ledger: Where a violation is recorded.
     """
     zone = scene.random.choice(scene.zones)
     scene.evacuate(zone)
--- a/tests/soak/seeds.py
+++ b/tests/soak/seeds.py
@@ -1,7 +1,7 @@
-"""Seeds that failed once; CI plays each of them again.
+"""Seeds that failed once; CI runs a play for each of them.
 
-A seed draws the same faults each time, but real processes meet them at other
-moments, so the cause has a test of its own beside it.
+A seed always draws the same faults, but their timing relative to the processes
+varies, so each cause also has a test of its own.
 """
 
 from dataclasses import dataclass
@@ -13,13 +13,13 @@
 
     Attributes:
         seed: The seed.
-        cause: Why, and where it is tested.
-        with_herds: Whether those faults were drawn from as well.
-        with_power: The same of losses of power.
-        with_harm: The same of requests that end upstreams.
-        with_limits: The same of upstreams that name limits.
-        with_notices: The same of upstreams that leave or ask for pauses.
-        with_restores: The same of restores of the store.
+        cause: Cause of the failure, and the test that covers it.
+        with_herds: Whether faults included the group `faults.HERDS`.
+        with_power: Whether faults included power losses.
+        with_harm: Whether faults included requests that terminate upstreams.
+        with_limits: Whether faults included announced rate limits.
+        with_notices: Whether faults included notices in answers.
+        with_restores: Whether faults included restores of the store.
     """
 
     seed: int
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams of a play: they work, lose answers, fall ill, leave, come back."""
+"""Upstreams of a play, which serve, fail, leave and restart."""
 
 import asyncio
 import time
@@ -15,16 +15,16 @@
 from soak.proxy import Proxy
 
 SERVICES = ('views', 'orders')
-# An upstream that starts during a play is cold for this long: twice the wait of
-# a host that starts beside it.
+# Time for which an upstream is cold after a start during a play: twice the wait
+# of a host that starts at the same time.
 COLD_SECONDS = 6.0
 SLOTS = 4
 QUEUE = 8
 WORK_SECONDS = 0.02
-# Part of the path of a request under which each upstream ends.
+# Part of the path of requests that terminate each upstream that runs them.
 HARMFUL = '/harmful-'
 NOT_RUN = 'Wardstair-Not-Executed: 1\r\n'
-# Share of answers that a well upstream loses, so that each play has some.
+# Share of answers that a healthy upstream loses, so that each play has some.
 LOST_SHARE = 0.01
 _SEAL = 'Wardstair-Server-Seal: s.1\r\n'
 
@@ -35,13 +35,13 @@
 
 @dataclass
 class Habits:
-    """How an upstream behaves now.
+    """How an upstream behaves at present.
 
     Attributes:
-        slowness: Factor on its work.
-        lost_share: Share of answers that it loses after the run.
+        slowness: Factor on its service time.
+        lost_share: Share of answers that it loses after running the request.
         surplus_share: Share of answers that it sends twice.
-        is_mute: Whether it takes requests and answers none.
+        is_mute: Whether it accepts requests but answers none.
     """
 
     slowness: float = 1.0
@@ -51,7 +51,7 @@
 
 
 class SoakUpstream:
-    """One upstream behind a proxy of its own; it may be reborn."""
+    """One upstream behind a proxy of its own, across restarts."""
 
     def __init__(
         self,
@@ -62,23 +62,23 @@
         lost_share: float = LOST_SHARE,
         cold_seconds: float = COLD_SECONDS,
     ) -> None:
-        """Prepare without a socket."""
+        """Create an upstream that is not listening yet."""
         self._cold_seconds = cold_seconds
         self.lost_share = lost_share
         self.zone = zone
         self.life = 0
-        # The life that its name is of; one that starts again may keep it.
+        # Incarnation that its name refers to; a restart may keep the name.
         self._named_life = 0
         self.born = _now_milliseconds()
         self.service = SERVICES[place % len(SERVICES)]
         self.cold_until = 0.0
         self.habits = Habits()
-        # What it names as its limit, if anything.
+        # Rate limit that it announces, if any.
         self.naming: Naming | None = None
-        # What it says of further requests.
+        # Notices that it sends in answers.
         self.leaving: Leaving | None = None
         self.pausing: Pausing | None = None
-        # That it drains by its entry while connections are silent.
+        # Set while its entry says draining and connections are silent.
         self.departure: Departure | None = None
         self._place = place
         self._ledger = ledger
@@ -88,16 +88,16 @@
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.proxy = Proxy(0)
-        # Told when a harmful request has begun to run.
+        # Called when a harmful request has started to run.
         self.on_harm: Callable[[SoakUpstream], None] = lambda _upstream: None
 
     @property
     def name(self) -> str:
-        """Its name, which its next life may keep."""
+        """Its name, which its next incarnation may keep."""
         return f'i-{self._place}-{self._named_life}'
 
     def spec(self, **status: object) -> dict[str, object]:
-        """Return the entry by which it registers itself."""
+        """Return the entry with which it registers itself."""
         if self._registered_life != self.life:
             self._registered_life = self.life
             seconds = self._cold_seconds if self.life else 0.0
@@ -113,7 +113,7 @@
         return {**entry, 'born': self.born}
 
     async def start(self) -> None:
-        """Listen, behind the proxy."""
+        """Start listening, behind the proxy."""
         self._server = await asyncio.start_server(self._serve, ADDRESS, 0)
         port = int(self._server.sockets[0].getsockname()[1])
         self.proxy = Proxy(port)
@@ -127,10 +127,10 @@
         await self.proxy.stop()
 
     def crash(self, *, keeps_name: bool = False) -> None:
-        """End this life at once; the address goes to the next.
+        """End this incarnation at once; the next one takes over its address.
 
         Args:
-            keeps_name: Whether the next one has the same name.
+            keeps_name: Whether the next incarnation has the same name.
         """
         self.life += 1
         if not keeps_name:
@@ -205,7 +205,7 @@
         self._running -= 1
         if self.habits.is_mute:
             self._blame(run)
-            # Until the gateway gives up and closes the connection.
+            # Waits until the gateway times out and closes the connection.
             await reader.read(1)
             return
         await self._write(name, writer, run)
--- a/tests/soak/versions.py
+++ b/tests/soak/versions.py
@@ -1,8 +1,8 @@
-"""Whether the versions of the configuration take hold, and never go back.
+"""Checks that configuration versions take effect and never revert.
 
-Each version keeps the marking routes of the ones before it, so that a gateway
-which answered for a marking route once must always find it in that life. Each
-drops the API key that the one before it had added.
+Each version adds a marker route and keeps those of the versions before it, so a
+gateway process that has served a marker route must always have it. Each version
+removes the API key that the one before it had added.
 """
 
 import asyncio
@@ -25,13 +25,13 @@
 
 
 def weights_of(version: int) -> dict[str, float]:
-    """Return the weights of the split route; each version has others."""
+    """Return the weights of the split route, which alternate by version."""
     views, orders = SERVICES
     return {views: 1, orders: 1 if version % 2 == 0 else 1 / 19}
 
 
 def marked_configuration(version: int) -> Stored:
-    """Return a configuration with a marking route for each version."""
+    """Return a configuration with marker routes for the latest versions."""
     begin = max(1, version - MARKS)
     marks = {
         f'mark-{one}': _public_route(f'/mark-{one}/', timeout_ms=1500)
@@ -66,7 +66,7 @@
 
 
 class VersionProbe:
-    """Asks one gateway which version is in force."""
+    """Probes which version is in force on one gateway."""
 
     def __init__(
         self,
@@ -74,12 +74,12 @@
         ledger: Ledger,
         newest: Callable[[], int],
     ) -> None:
-        """Prepare.
+        """Create a probe.
 
         Args:
             gateway: The gateway.
-            ledger: Where a version that went back is noted.
-            newest: The version that the store has acknowledged last.
+            ledger: Where violations are recorded.
+            newest: Returns the version that the store acknowledged last.
         """
         self.in_force = 0
         self._gateway = gateway
@@ -89,13 +89,13 @@
         self._life = ''
 
     async def run(self, is_over: Callable[[], bool]) -> None:
-        """Ask again and again."""
+        """Probe at regular intervals."""
         while not is_over():
             await self.ask()
             await asyncio.sleep(PROBE_SECONDS)
 
     async def ask(self) -> None:
-        """Ask for the newest version, and for the one that was in force."""
+        """Probe the newest version, else the last one seen in force."""
         life = self._gateway.name
         if life != self._life:
             self._life = life
@@ -112,10 +112,11 @@
         self._note_broken(life, f'went back from {known}')
 
     async def _check_keys(self, life: str, version: int) -> None:
-        """Look whether the API keys of a version, and no others, are in force.
+        """Check that the API keys of a version, and no others, are in force.
 
         Args:
-            life: The gateway's life, which has this version or a later one.
+            life: Name of the gateway process, which has this version or a
+                later one.
             version: The version.
         """
         dropped = key_of(version - 1)
@@ -127,7 +128,7 @@
             self._note_broken(life, 'refused a key that all versions hold')
 
     def _note_broken(self, life: str, what: str) -> None:
-        # A new process may have answered in the place of the old one.
+        # A new process may have answered instead of the old one.
         if self._gateway.name == life and self._gateway.is_running:
             self._ledger.broken.append(f'{life} {what}')
 
