--- a/tests/soak/breaks.py
+++ b/tests/soak/breaks.py
@@ -30,15 +30,17 @@
 from wardstair.version.steering import SteeredRoute
 
 
-def lie_about_not_run() -> None:
+def misreport_as_not_run() -> None:
     """Report to callers that a request has not run although it may have."""
     status = refusals.OVERLOADED.status
-    lie = replace(refusals.OUTCOME_UNKNOWN, status=status, retry_after=0.1)
-    refusals.OUTCOME_UNKNOWN = lie
-    refusals.DEADLINE_PASSED = lie
+    misreport = replace(
+        refusals.OUTCOME_UNKNOWN, status=status, retry_after=0.1
+    )
+    refusals.OUTCOME_UNKNOWN = misreport
+    refusals.DEADLINE_PASSED = misreport
 
 
-def forget_versions() -> None:
+def revert_versions() -> None:
     """Apply every configuration version that is read, even an older one."""
     adopt = local_state.LocalState.offer_configuration
     kept: list[StoredObject] = []
@@ -59,7 +61,7 @@
     local_state.LocalState.offer_configuration = offer  # type: ignore[method-assign]
 
 
-def believe_to_be_alone() -> None:
+def ignore_other_hosts() -> None:
     """Make each host treat itself as the only one in the fleet."""
 
     def view(self: fleet_views.FleetViews) -> HostView:
@@ -78,7 +80,7 @@
     fleet_views.FleetViews._view = view  # type: ignore[method-assign]
 
 
-def keep_old_tallies() -> None:
+def keep_old_counts() -> None:
     """Keep the request counts of old weights when weights change."""
     begin = splitting.TrafficSplitter._begin
 
@@ -94,7 +96,7 @@
     splitting.TrafficSplitter._begin = go_on  # type: ignore[method-assign]
 
 
-def forget_harm() -> None:
+def discard_exit_evidence() -> None:
     """Discard evidence that a request terminated upstreams."""
 
     def take_in(
@@ -174,13 +176,13 @@
     age.StateAge.seconds = property(seconds)  # type: ignore[assignment]
 
 
-def pass_keys_on() -> None:
+def forward_api_keys() -> None:
     """Forward API keys to upstreams."""
     api_key = headers.API_KEY.lower()
     headers._REPLACED = headers._REPLACED - {api_key}
 
 
-def keep_dropped_keys() -> None:
+def accept_removed_api_keys() -> None:
     """Accept API keys that a later configuration version has removed."""
     held: dict[bytes, organisations.Organisation] = {}
 
@@ -219,7 +221,7 @@
     pool.dial_tcp = dial
 
 
-def keep_to_itself() -> None:
+def disable_peer_forwarding() -> None:
     """Forward nothing to peers and report no unreachable upstream."""
     setattr(peer_forwarding.PeerForwarder, 'find', _find_nobody)  # noqa: B010
     reachability.ReachabilityTable.is_cut_off = property(  # type: ignore[assignment]
@@ -239,17 +241,17 @@
     """
     match kind:
         case 'trapped':
-            keep_to_itself()
+            disable_peer_forwarding()
         case 'lie':
-            lie_about_not_run()
+            misreport_as_not_run()
         case 'revert':
-            forget_versions()
+            revert_versions()
         case 'alone':
-            believe_to_be_alone()
+            ignore_other_hosts()
         case 'tally':
-            keep_old_tallies()
+            keep_old_counts()
         case 'harm':
-            forget_harm()
+            discard_exit_evidence()
         case 'limits':
             ignore_limits()
         case 'leaving':
@@ -261,7 +263,7 @@
         case 'silence':
             trust_silent_watches()
         case 'keys':
-            pass_keys_on()
+            forward_api_keys()
         case 'dropped':
-            keep_dropped_keys()
+            accept_removed_api_keys()
     gateway.main()
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -20,8 +20,8 @@
 # Number of distinct keys that requests carry.
 KEYS = 24
 # Timeout of a request.
-PATIENCE_SECONDS = 4.0
-CONNECT_SECONDS = 1.0
+REQUEST_TIMEOUT_SECONDS = 4.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 PAUSE_SECONDS = 0.02
 UPLOAD_BYTES = 40000
 
@@ -44,7 +44,7 @@
         self._numbers = count()
         self._caller: Caller | None = None
         self._gateway = gateways[0]
-        self._life = ''
+        self._gateway_name = ''
 
     async def run(self, is_over: Callable[[], bool]) -> None:
         """Send requests until the play is over; the last one is completed."""
@@ -62,11 +62,11 @@
         caller = self._caller
         assert caller is not None
         name = f'{self._name}-{next(self._numbers)}'
-        made = self._ledger.begin(name, kind, self._life)
+        made = self._ledger.begin(name, kind, self._gateway_name)
         body = b'x' * self._random.choice((1, 200, UPLOAD_BYTES))
         key = str(self._random.randrange(KEYS))
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
                 await caller.send(TARGETS[kind], 'POST', body, name, key)
                 answer = await caller.answer()
         except (TimeoutError, ConnectionError):
@@ -83,9 +83,9 @@
 
     async def _connect(self) -> bool:
         self._gateway = self._random.choice(self._gateways)
-        self._life = self._gateway.name
+        self._gateway_name = self._gateway.name
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 self._caller = await Caller.connect_to(self._gateway.callers)
         return self._caller is not None
 
--- a/tests/soak/cuts.py
+++ b/tests/soak/cuts.py
@@ -15,13 +15,13 @@
 # The documented time after the start of a cut by which callers must be served
 # again, and how long the cut lasts after that.
 CONTACT_SECONDS = 4.0
-JUDGED_SECONDS = 3.0
+CHECKED_SECONDS = 3.0
 # Minimum ratio of the success rate at hosts that are cut off to that at other
 # hosts, and the failures that are tolerated. The documented rule is violated
 # only if both are exceeded.
-LEAST_SHARE = 2 / 3
-BORNE_FAILURES = 10
-BORNE_SHARE = 1 / 50
+MIN_SHARE = 2 / 3
+TOLERATED_FAILURES = 10
+TOLERATED_SHARE = 1 / 50
 
 
 @dataclass
@@ -52,8 +52,10 @@
         here = [one for one in sent if _host(one) in self.hosts]
         others = [one for one in sent if _host(one) not in self.hosts]
         failed = sum(one.status != 200 for one in here)
-        is_borne = failed <= BORNE_FAILURES + BORNE_SHARE * len(sent)
-        if is_borne or _share(here) >= LEAST_SHARE * _share(others):
+        is_tolerated = failed <= TOLERATED_FAILURES + TOLERATED_SHARE * len(
+            sent
+        )
+        if is_tolerated or _share(here) >= MIN_SHARE * _share(others):
             return []
         return [
             f'hosts cut off by {self.way} served {len(here) - failed} of '
@@ -68,13 +70,13 @@
         amount = scene.random.randint(1, most)
         cut = scene.random.sample(scene.gateways, amount)
         way = scene.cut_way or scene.random.choice(list(CutWay))
-        spell = CutOff(frozenset(one.place.name for one in cut), way)
-        scene.ledger.cuts.append(spell)
+        cut_period = CutOff(frozenset(one.place.name for one in cut), way)
+        scene.ledger.cuts.append(cut_period)
         addresses = [one.place.address for one in cut]
         for upstream in scene.upstreams:
             upstream.proxy.cut(addresses, way)
-        await asyncio.sleep(CONTACT_SECONDS + JUDGED_SECONDS)
-        spell.end = time.monotonic()
+        await asyncio.sleep(CONTACT_SECONDS + CHECKED_SECONDS)
+        cut_period.end = time.monotonic()
         for upstream in scene.upstreams:
             upstream.proxy.mend(addresses)
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -30,7 +30,7 @@
 # Interval between attempts of a harmful request, and how long an upstream that
 # it terminated refuses connections.
 HARMFUL_SECONDS = 0.2
-AWAY_SECONDS = 0.8
+REFUSING_SECONDS = 0.8
 DELAY_SECONDS = 0.3
 # Rate limits that an upstream may announce in requests per second, and for how
 # long: the time until the limit applies, one window, and a margin.
@@ -173,7 +173,7 @@
 
 async def cut_store(scene: Scene) -> None:
     """Disturb the path of one gateway to the store."""
-    await _harm(scene, scene.random.choice(scene.store_proxies))
+    await _disturb(scene, scene.random.choice(scene.store_proxies))
 
 
 async def cut_store_for_many(scene: Scene) -> None:
@@ -182,15 +182,15 @@
         scene.store_proxies,
         len(scene.store_proxies) // 2,
     )
-    await asyncio.gather(*(_harm(scene, one) for one in half))
+    await asyncio.gather(*(_disturb(scene, one) for one in half))
 
 
 async def cut_upstream(scene: Scene) -> None:
     """Disturb the paths of all gateways to one upstream."""
-    await _harm(scene, scene.random.choice(scene.upstreams).proxy)
+    await _disturb(scene, scene.random.choice(scene.upstreams).proxy)
 
 
-async def _harm(scene: Scene, proxy: Proxy) -> None:
+async def _disturb(scene: Scene, proxy: Proxy) -> None:
     mode = scene.random.choice([one for one in Mode if one is not Mode.carry])
     proxy.set_mode(mode, DELAY_SECONDS)
     await asyncio.sleep(scene.draw_seconds())
@@ -247,7 +247,7 @@
     number = scene.harmful
     target = f'/read{HARMFUL}{number}'
     for upstream in scene.upstreams:
-        upstream.on_harm = partial(_end_under, scene)
+        upstream.on_harm = partial(_terminate_upstream, scene)
     end = asyncio.get_running_loop().time() + 2 * LONGEST_SECONDS
     tries = 0
     while asyncio.get_running_loop().time() < end:
@@ -276,17 +276,17 @@
     made.ended_at = asyncio.get_running_loop().time()
 
 
-def _end_under(scene: Scene, upstream: SoakUpstream) -> None:
-    task = asyncio.ensure_future(_end_and_return(scene, upstream))
+def _terminate_upstream(scene: Scene, upstream: SoakUpstream) -> None:
+    task = asyncio.ensure_future(_crash_and_restart(scene, upstream))
     scene.ends.add(task)
     task.add_done_callback(scene.ends.discard)
 
 
-async def _end_and_return(scene: Scene, upstream: SoakUpstream) -> None:
+async def _crash_and_restart(scene: Scene, upstream: SoakUpstream) -> None:
     name = upstream.name
     keeps_name = scene.random.random() < 0.5
     upstream.crash(keeps_name=keeps_name)
-    await upstream.proxy.refuse(AWAY_SECONDS)
+    await upstream.proxy.refuse(REFUSING_SECONDS)
     if not keeps_name:
         scene.deregister(name)
     scene.register(upstream)
@@ -528,4 +528,6 @@
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             error = repr(task.exception())
-            self._scene.ledger.broken.append(f'the soak itself failed: {error}')
+            self._scene.ledger.broken.append(
+                f'a fault of the soak raised {error}'
+            )
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -17,9 +17,9 @@
 # Name of the fault in which a caller sends a harmful request.
 HARM = 'send_harmful'
 # After a request has terminated ENDED_BEFORE upstreams, it may terminate at
-# most MOST_ENDED_LATE more once KNOWN_SECONDS, the default contact time of
-# gateways, have passed.
-KNOWN_SECONDS = 4.0
+# most MOST_ENDED_LATE more once PROPAGATION_SECONDS, the default contact time
+# of gateways, have passed.
+PROPAGATION_SECONDS = 4.0
 ENDED_BEFORE = 3
 MOST_ENDED_LATE = 3
 # Name of the fault in which an upstream announces a rate limit, and the
@@ -195,7 +195,10 @@
     def check(self) -> list[str]:
         """Return a description of each violated guarantee."""
         found = list(self.broken)
-        found.extend(f'ran unasked: {name}' for name in self.unknown)
+        found.extend(
+            f'ran without having been sent by a caller: {name}'
+            for name in self.unknown
+        )
         found.extend(self._check_cold())
         found.extend(self._check_ended())
         found.extend(self._check_limits())
@@ -215,7 +218,7 @@
     def tell_limits(self) -> list[str]:
         """Return a description of the utilization of each rate limit."""
         return [
-            f'{one.upstream} named {one.rate}: {self._most_of(one)} of '
+            f'{one.upstream} named {one.rate}: {self._max_arrivals(one)} of '
             f'{len(one.came)} in {LIMIT_SECONDS} s where {one.borne} are borne'
             for one in self.named
         ]
@@ -231,9 +234,11 @@
     def _check_ended(self) -> list[str]:
         found = []
         for line, times in self.ended.items():
-            known_at = sorted(times)[:ENDED_BEFORE][-1] + KNOWN_SECONDS
+            known_at = sorted(times)[:ENDED_BEFORE][-1] + PROPAGATION_SECONDS
             late = [
-                at for at in times if at > known_at and self._is_calm(at, HARM)
+                at
+                for at in times
+                if at > known_at and self._is_undisturbed(at, HARM)
             ]
             if len(late) > MOST_ENDED_LATE:
                 found.append(
@@ -247,26 +252,26 @@
             f'{most} requests in {LIMIT_SECONDS} s came to '
             f'{one.upstream}, which had named {one.rate}'
             for one in self.named
-            if (most := self._most_of(one)) > one.borne
+            if (most := self._max_arrivals(one)) > one.borne
         ]
 
-    def _most_of(self, naming: Naming) -> int:
+    def _max_arrivals(self, naming: Naming) -> int:
         """Return the most arrivals in any window in which a limit applied."""
         counts = [
             sum(1 for at in naming.came if first <= at < first + LIMIT_SECONDS)
             for first in naming.came
-            if first >= naming.begin + KNOWN_SECONDS
-            and self._is_calm(first, LIMIT)
-            and self._is_calm(first + LIMIT_SECONDS, LIMIT)
+            if first >= naming.begin + PROPAGATION_SECONDS
+            and self._is_undisturbed(first, LIMIT)
+            and self._is_undisturbed(first + LIMIT_SECONDS, LIMIT)
         ]
         return max(counts, default=0)
 
-    def _is_calm(self, at: float, besides: str) -> bool:
+    def _is_undisturbed(self, at: float, ignored_fault: str) -> bool:
         """Return whether no other fault kept hosts from being up to date."""
         return not any(
-            span.begin < at and span.end > at - KNOWN_SECONDS
+            span.begin < at and span.end > at - PROPAGATION_SECONDS
             for span in self.spans
-            if span.name != besides
+            if span.name != ignored_fault
         )
 
     def _is_cut_by_stop(self, one: Try) -> bool:
--- a/tests/soak/notices.py
+++ b/tests/soak/notices.py
@@ -12,16 +12,16 @@
 # The default of gateways.
 DRAIN_SECONDS = Bounds().drain_seconds
 # Bounds of gateways in plays in which connections fall silent.
-NEWS_BOUNDS = Bounds(
+SILENCE_BOUNDS = Bounds(
     drain_seconds=2.5,
     apply_seconds=2.5,
     evacuate_seconds=2.5,
     contact_seconds=3.0,
 )
-# Requests tolerated per gateway during a pause, counted from SLACK_SECONDS
+# Requests tolerated per gateway during a pause, counted from MARGIN_SECONDS
 # after the upstream asked for it.
 MOST_IN_PAUSE = 2
-SLACK_SECONDS = 0.5
+MARGIN_SECONDS = 0.5
 # Names of the faults that excuse a gateway. Restarts are not among them, since
 # a restarted gateway counts as a new process.
 FREEZE = frozenset(('pause_gateway',))
@@ -57,16 +57,16 @@
 
     def check(self, spans: list['Span']) -> list[str]:
         """Return a description of each request sent too late after a notice."""
-        told: dict[str, float] = {}
+        notified_at: dict[str, float] = {}
         for one in self.answered:
             if one.status == 200:
-                known = told.get(one.gateway, one.ended_at)
-                told[one.gateway] = min(known, one.ended_at)
+                known = notified_at.get(one.gateway, one.ended_at)
+                notified_at[one.gateway] = min(known, one.ended_at)
         return [
             f'{arrival.request} came to {self.upstream} {late:.2f} s after it '
             'had said that it leaves'
             for arrival in self.came
-            if (late := _late(arrival, told)) > DRAIN_SECONDS
+            if (late := _late(arrival, notified_at)) > DRAIN_SECONDS
             and not _is_excused(arrival.at - late, arrival.at, spans, FREEZE)
         ]
 
@@ -93,7 +93,7 @@
         """Return a description of each gateway that ignored a pause."""
         most: dict[str, int] = {}
         for asked in self.rejected:
-            begin = asked.at + SLACK_SECONDS
+            begin = asked.at + MARGIN_SECONDS
             end = asked.at + self.seconds
             if _is_excused(asked.at, end, spans, CUTS):
                 continue
@@ -132,8 +132,8 @@
     def check(self, spans: list['Span']) -> list[str]:
         """Return a description of each request sent too late after it."""
         due = max(
-            self.written_at + NEWS_BOUNDS.drain_seconds,
-            self.silenced_at + NEWS_BOUNDS.contact_seconds,
+            self.written_at + SILENCE_BOUNDS.drain_seconds,
+            self.silenced_at + SILENCE_BOUNDS.contact_seconds,
         )
         return [
             f'{arrival.request} came to {self.upstream} '
@@ -145,10 +145,10 @@
         ]
 
 
-def _late(arrival: Arrival, told: Mapping[str, float]) -> float:
+def _late(arrival: Arrival, notified_at: Mapping[str, float]) -> float:
     """Return the seconds from the notice to the gateway until a request."""
     request = arrival.request
-    return request.sent_at - told.get(request.gateway, request.sent_at)
+    return request.sent_at - notified_at.get(request.gateway, request.sent_at)
 
 
 def _is_excused(
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -31,7 +31,7 @@
     Schedule,
 )
 from soak.ledger import Kind, Ledger
-from soak.notices import NEWS_BOUNDS
+from soak.notices import SILENCE_BOUNDS
 from soak.processes import GatewayProcess, choose_places
 from soak.proxy import CutWay, Proxy
 from soak.restores import check_evacuation, restore_store
@@ -49,7 +49,7 @@
 # tenth of it; this only ends a play that has failed.
 RECOVERY_SECONDS = 60.0
 START_SECONDS = 60.0
-LOOK_SECONDS = 0.1
+POLL_SECONDS = 0.1
 
 
 @dataclass
@@ -202,7 +202,7 @@
             await proxy.start()
             self._store_proxies.append(proxy)
         ports = [proxy.port for proxy in self._store_proxies]
-        bounds = NEWS_BOUNDS if self._plan.only_silence else None
+        bounds = SILENCE_BOUNDS if self._plan.only_silence else None
         places = choose_places(
             ZONES,
             self._plan.hosts,
@@ -242,7 +242,7 @@
             VersionProbe(gateway, self.ledger, lambda: scene.version)
             for gateway in self._gateways
         ]
-        await self._wait_well(probes, 'start', START_SECONDS)
+        await self._wait_until_serving(probes, 'start', START_SECONDS)
         running = [
             *(probe.run(self._has_ended) for probe in probes),
             *(caller.run(self._has_ended) for caller in self._callers()),
@@ -255,10 +255,10 @@
         )
         await schedule.run(self._plan.seconds)
         scene.put_configuration()
-        await self._wait_well(probes, 'recovery', RECOVERY_SECONDS)
+        await self._wait_until_serving(probes, 'recovery', RECOVERY_SECONDS)
         if not self.ledger.check():
             # A play that has failed already skips the long check of weights.
-            await self._weigh(scene, probes)
+            await self._check_weights(scene, probes)
         if self._plan.with_restores:
             await check_evacuation(scene, self._upstreams, self.ledger)
         self._is_over = True
@@ -271,7 +271,9 @@
             self.ledger.tell_limits(),
         )
 
-    async def _weigh(self, scene: Scene, probes: list[VersionProbe]) -> None:
+    async def _check_weights(
+        self, scene: Scene, probes: list[VersionProbe]
+    ) -> None:
         """Change weights twice without faults and check the split."""
         end = max(one.cold_until for one in self._upstreams)
         await asyncio.sleep(max(0.0, end - time.monotonic()))
@@ -279,7 +281,9 @@
             scene.put_configuration()
         for _ in range(2):
             scene.put_configuration()
-            await self._wait_well(probes, 'a quiet change', RECOVERY_SECONDS)
+            await self._wait_until_serving(
+                probes, 'a change without faults', RECOVERY_SECONDS
+            )
             scale = Scale(self.ledger, weights_of(scene.version))
             await scale.wait(RECOVERY_SECONDS)
             self.ledger.broken.extend(scale.check())
@@ -298,7 +302,7 @@
             for number in range(self._plan.callers)
         ]
 
-    async def _wait_well(
+    async def _wait_until_serving(
         self,
         probes: list[VersionProbe],
         moment: str,
@@ -306,22 +310,23 @@
     ) -> None:
         """Wait until the newest version is in force on every gateway."""
         waiting = [
-            asyncio.ensure_future(self._wait_one(probe)) for probe in probes
+            asyncio.ensure_future(self._wait_for_version(probe))
+            for probe in probes
         ]
         _, late = await asyncio.wait(waiting, timeout=seconds)
         for task in late:
             task.cancel()
         if late:
             self.ledger.broken.append(
-                f'{len(late)} hosts did not serve by the newest version '
-                f'{seconds} s after {moment}',
+                f'{len(late)} hosts did not apply the newest version '
+                f'within {seconds} s after {moment}',
             )
 
-    async def _wait_one(self, probe: VersionProbe) -> None:
+    async def _wait_for_version(self, probe: VersionProbe) -> None:
         newest = probe.newest()
         while probe.in_force < newest:
             await probe.ask()
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
 
 async def play(plan: Plan, folder: Path) -> Verdict:
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -21,7 +21,7 @@
 SEEDS = 3
 GRACE_SECONDS = 5
 # Time for a process to exit on SIGHUP, or to be ready for the next one.
-HUNG_UP_SECONDS = 0.3
+HANG_UP_WAIT_SECONDS = 0.3
 MILLISECONDS = 1000
 
 
@@ -56,7 +56,7 @@
         # Size of the log in bytes when the current process was started.
         self._logged = 0
         # How long to wait for an exit on SIGHUP.
-        self.hung_up_seconds = HUNG_UP_SECONDS
+        self.hung_up_seconds = HANG_UP_WAIT_SECONDS
 
     @property
     def name(self) -> str:
@@ -179,7 +179,7 @@
         f'"cold_slack={COLD_SLACK}"'
     )
     if held_to is not None:
-        bounds = f'{bounds}, {_news_bounds(held_to)}'
+        bounds = f'{bounds}, {_update_bounds(held_to)}'
     return (
         f'name = "{place.name}"\naddress = "{place.address}"\n'
         f'zone = "{place.zone}"\nfleet_ports = [{port}, {port}]\n'
@@ -189,7 +189,7 @@
     )
 
 
-def _news_bounds(bounds: Bounds) -> str:
+def _update_bounds(bounds: Bounds) -> str:
     named = {
         'drain_ms': bounds.drain_seconds,
         'config_apply_ms': bounds.apply_seconds,
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class _Way:
+class _Connection:
     number: int
     peer: str
 
@@ -55,7 +55,7 @@
         self._accepted = 0
         self._silenced = 0
         self._cuts: dict[str, CutWay] = {}
-        self._of: dict[str, set[asyncio.StreamWriter]] = {}
+        self._writers_by_peer: dict[str, set[asyncio.StreamWriter]] = {}
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -107,7 +107,7 @@
                 self._reset_of(address)
 
     def _reset_of(self, address: str) -> None:
-        for writer in tuple(self._of.get(address, ())):
+        for writer in tuple(self._writers_by_peer.get(address, ())):
             writer.transport.abort()
 
     async def stop(self) -> None:
@@ -127,7 +127,7 @@
         number = self._accepted
         self._writers.add(writer)
         peer = str(writer.get_extra_info('peername')[0])
-        self._of.setdefault(peer, set()).add(writer)
+        self._writers_by_peer.setdefault(peer, set()).add(writer)
         is_cut = self._cuts.get(peer) in {CutWay.reset, CutWay.reset_new}
         if self.mode is Mode.reset or is_cut:
             writer.transport.abort()
@@ -139,9 +139,11 @@
             return
         far_reader, far_writer = far
         self._writers.add(far_writer)
-        way = _Way(number, peer)
-        self._spawn(self._carry(reader, far_writer, way, is_answer=False))
-        self._spawn(self._carry(far_reader, writer, way, is_answer=True))
+        connection = _Connection(number, peer)
+        self._spawn(
+            self._carry(reader, far_writer, connection, is_answer=False)
+        )
+        self._spawn(self._carry(far_reader, writer, connection, is_answer=True))
 
     def _spawn(self, carrying: 'asyncio.Future[None] | object') -> None:
         task: asyncio.Task[None] = asyncio.ensure_future(
@@ -154,7 +156,7 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        way: '_Way',
+        connection: '_Connection',
         *,
         is_answer: bool,
     ) -> None:
@@ -162,7 +164,7 @@
             while chunk := await reader.read(CHUNK):
                 if self.mode is Mode.delay:
                     await asyncio.sleep(self.delay)
-                if self._swallows(way, is_answer=is_answer):
+                if self._discards(connection, is_answer=is_answer):
                     continue
                 writer.write(chunk)
                 await writer.drain()
@@ -170,13 +172,13 @@
             writer.transport.abort()
         finally:
             self._writers.discard(writer)
-            self._of[way.peer].discard(writer)
-            if not self._swallows(way, is_answer=is_answer):
+            self._writers_by_peer[connection.peer].discard(writer)
+            if not self._discards(connection, is_answer=is_answer):
                 writer.close()
 
-    def _swallows(self, way: '_Way', *, is_answer: bool) -> bool:
-        if self.mode is Mode.silence or way.number <= self._silenced:
+    def _discards(self, connection: '_Connection', *, is_answer: bool) -> bool:
+        if self.mode is Mode.silence or connection.number <= self._silenced:
             return True
-        if self._cuts.get(way.peer) is CutWay.hang:
+        if self._cuts.get(connection.peer) is CutWay.hang:
             return True
         return self.mode is Mode.cut_answers and is_answer
--- a/tests/soak/restores.py
+++ b/tests/soak/restores.py
@@ -16,11 +16,11 @@
 UPSTREAMS = 'servers'
 # Additional changes that a restore loses, so that revisions are issued again.
 LOST_CHANGES = 40
-LONGEST_AWAY_SECONDS = 1.0
+MAX_OUTAGE_SECONDS = 1.0
 # Time after which hosts have received what was written.
-KNOWN_SECONDS = 1.0
+PROPAGATION_SECONDS = 1.0
 # The store expires an entry that is not renewed for three heartbeats.
-LAPSE_SECONDS = 4.5
+EXPIRY_SECONDS = 4.5
 # Documented time after which an evacuated zone gets no requests.
 EVACUATED_SECONDS = 5.0
 WATCHED_SECONDS = 2.0
@@ -35,8 +35,8 @@
     async with scene.restoring:
         for _ in range(times):
             await _restore_once(scene)
-        await asyncio.sleep(LAPSE_SECONDS)
-        _drop_silent(scene)
+        await asyncio.sleep(EXPIRY_SECONDS)
+        _delete_stale_entries(scene)
 
 
 async def _restore_once(scene: Scene) -> None:
@@ -44,10 +44,10 @@
     copy = store.copy()
     for number in range(LOST_CHANGES):
         store.put('unrelated', 'one', {'number': number})
-    await _evacuate_shortly(scene)
+    await _evacuate_briefly(scene)
     await asyncio.sleep(scene.draw_seconds())
     store.status = 503
-    await asyncio.sleep(scene.random.random() * LONGEST_AWAY_SECONDS)
+    await asyncio.sleep(scene.random.random() * MAX_OUTAGE_SECONDS)
     lost = store.copy()
     store.restore(copy)
     await asyncio.sleep(scene.random.random())
@@ -56,7 +56,7 @@
     _evacuate_again(scene)
 
 
-async def _evacuate_shortly(scene: Scene) -> None:
+async def _evacuate_briefly(scene: Scene) -> None:
     """Write an evacuation and its end with revisions that will be lost."""
     zone = scene.random.choice(scene.zones)
     if zone in scene.evacuated:
@@ -65,7 +65,7 @@
     # Hosts that have just started may receive it only after this long.
     await asyncio.sleep(EVACUATED_SECONDS)
     scene.end_evacuation(zone)
-    await asyncio.sleep(KNOWN_SECONDS)
+    await asyncio.sleep(PROPAGATION_SECONDS)
 
 
 def _objects(copy: StoreCopy, kind: str) -> dict[str, Stored]:
@@ -96,7 +96,7 @@
         scene.end_evacuation(zone)
 
 
-def _drop_silent(scene: Scene) -> None:
+def _delete_stale_entries(scene: Scene) -> None:
     """Delete entries of upstreams that no longer exist."""
     living = {one.name for one in scene.upstreams}
     for name in scene.store.kind(UPSTREAMS).objects.keys() - living:
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -68,7 +68,7 @@
         self.zone = zone
         self.life = 0
         # Incarnation that its name refers to; a restart may keep the name.
-        self._named_life = 0
+        self._named_incarnation = 0
         self.born = _now_milliseconds()
         self.service = SERVICES[place % len(SERVICES)]
         self.cold_until = 0.0
@@ -84,7 +84,7 @@
         self._ledger = ledger
         self._random = random
         self._running = 0
-        self._registered_life = -1
+        self._registered_incarnation = -1
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.proxy = Proxy(0)
@@ -94,12 +94,12 @@
     @property
     def name(self) -> str:
         """Its name, which its next incarnation may keep."""
-        return f'i-{self._place}-{self._named_life}'
+        return f'i-{self._place}-{self._named_incarnation}'
 
     def spec(self, **status: object) -> dict[str, object]:
         """Return the entry with which it registers itself."""
-        if self._registered_life != self.life:
-            self._registered_life = self.life
+        if self._registered_incarnation != self.life:
+            self._registered_incarnation = self.life
             seconds = self._cold_seconds if self.life else 0.0
             self.cold_until = time.monotonic() + seconds
         left = max(0.0, self.cold_until - time.monotonic())
@@ -134,7 +134,7 @@
         """
         self.life += 1
         if not keeps_name:
-            self._named_life = self.life
+            self._named_incarnation = self.life
         self.born = max(_now_milliseconds(), self.born + 1)
         self._running = 0
         self.habits = Habits()
@@ -185,11 +185,11 @@
         arrival = self._note_arrival(name)
         pausing = self.pausing
         if arrival and pausing and pausing.is_rejecting:
-            self._ask_pause(arrival, pausing, writer)
+            self._reject_with_pause(arrival, pausing, writer)
             return
         if self._running >= SLOTS + QUEUE:
             full = '503 Service Unavailable'
-            extra = NOT_RUN + self._limit()
+            extra = NOT_RUN + self._limit_header()
             writer.write(whole_answer(name, b'', full, extra))
             return
         run = self._ledger.note_run(name, self.name, self.service)
@@ -198,13 +198,13 @@
             self.on_harm(self)
             return
         self._running += 1
-        await asyncio.sleep(self._work())
+        await asyncio.sleep(self._draw_work_seconds())
         if life != self.life:
-            self._blame(run)
+            self._mark_faulted(run)
             return
         self._running -= 1
         if self.habits.is_mute:
-            self._blame(run)
+            self._mark_faulted(run)
             # Waits until the gateway times out and closes the connection.
             await reader.read(1)
             return
@@ -218,11 +218,11 @@
     ) -> None:
         habits = self.habits
         if self._random.random() < max(habits.lost_share, self.lost_share):
-            self._blame(run)
+            self._mark_faulted(run)
             writer.transport.abort()
             return
         body = f'{name} {self.name}'.encode()
-        extra = _SEAL + self._limit() + self._say_leaving(name)
+        extra = _SEAL + self._limit_header() + self._leaving_header(name)
         writer.write(whole_answer(name, body, extra=extra))
         if self._random.random() < habits.surplus_share:
             writer.write(whole_answer(name, body, extra=extra))
@@ -231,11 +231,12 @@
     def _check_organisation(self, seen: Seen) -> None:
         if seen.header('Wardstair-Credential') is not None:
             self._ledger.broken.append(f'{seen.request_id} carries its API key')
-        told = seen.header('Wardstair-Tenant')
+        received = seen.header('Wardstair-Tenant')
         wanted = ORGANISATION if PRIVATE in seen.line else None
-        if told != wanted:
+        if received != wanted:
             self._ledger.broken.append(
-                f'{seen.request_id} is of {told}, not of {wanted}',
+                f'{seen.request_id} carries organisation {received}, '
+                f'not {wanted}',
             )
 
     def _note_arrival(self, name: str) -> Arrival | None:
@@ -245,7 +246,7 @@
                 notice.came.append(arrival)
         return arrival
 
-    def _ask_pause(
+    def _reject_with_pause(
         self,
         arrival: Arrival,
         pausing: Pausing,
@@ -257,21 +258,21 @@
         writer.write(whole_answer(name, b'', unavailable, extra))
         pausing.rejected.append(arrival)
 
-    def _say_leaving(self, name: str) -> str:
+    def _leaving_header(self, name: str) -> str:
         known = self._ledger.tries.get(name)
         if self.leaving is None or known is None:
             return ''
         self.leaving.answered.append(known)
         return 'Server-Leaving: 1\r\n'
 
-    def _limit(self) -> str:
+    def _limit_header(self) -> str:
         naming = self.naming
         return '' if naming is None else f'Server-Limit: {naming.rate}\r\n'
 
-    def _work(self) -> float:
+    def _draw_work_seconds(self) -> float:
         mean = WORK_SECONDS * self.habits.slowness
         return self._random.expovariate(1 / mean)
 
-    def _blame(self, run: Run | None) -> None:
+    def _mark_faulted(self, run: Run | None) -> None:
         if run is not None:
             run.is_faulted = True
--- a/tests/soak/versions.py
+++ b/tests/soak/versions.py
@@ -17,9 +17,9 @@
 from soak.processes import GatewayProcess
 from soak.upstreams import SERVICES
 
-MARKS = 40
+MARKER_ROUTES = 40
 PROBE_SECONDS = 0.25
-PATIENCE_SECONDS = 3.0
+REQUEST_TIMEOUT_SECONDS = 3.0
 NOT_FOUND = 404
 UNAUTHORISED = 401
 
@@ -32,8 +32,8 @@
 
 def marked_configuration(version: int) -> Stored:
     """Return a configuration with marker routes for the latest versions."""
-    begin = max(1, version - MARKS)
-    marks = {
+    begin = max(1, version - MARKER_ROUTES)
+    markers = {
         f'mark-{one}': _public_route(f'/mark-{one}/', timeout_ms=1500)
         for one in range(begin, version + 1)
     }
@@ -50,7 +50,7 @@
                 for service, weight in weights_of(version).items()
             ],
         ),
-        **marks,
+        **markers,
     )
     api_keys = [STANDING_KEY, key_of(version)]
     document['tenants'] = {ORGANISATION: {'api_keys': api_keys}}
@@ -86,7 +86,7 @@
         self._ledger = ledger
         self.newest = newest
         self._numbers = count()
-        self._life = ''
+        self._gateway_name = ''
 
     async def run(self, is_over: Callable[[], bool]) -> None:
         """Probe at regular intervals."""
@@ -96,51 +96,56 @@
 
     async def ask(self) -> None:
         """Probe the newest version, else the last one seen in force."""
-        life = self._gateway.name
-        if life != self._life:
-            self._life = life
+        gateway_name = self._gateway.name
+        if gateway_name != self._gateway_name:
+            self._gateway_name = gateway_name
             self.in_force = 0
         newest = self.newest()
-        if await self._status(newest) == 200 and life == self._gateway.name:
+        if (
+            await self._status(newest) == 200
+            and gateway_name == self._gateway.name
+        ):
             if newest > self.in_force:
                 self.in_force = newest
-                await self._check_keys(life, newest)
+                await self._check_keys(gateway_name, newest)
             return
         known = self.in_force
         if not known or await self._status(known) != NOT_FOUND:
             return
-        self._note_broken(life, f'went back from {known}')
+        self._note_broken(gateway_name, f'went back from {known}')
 
-    async def _check_keys(self, life: str, version: int) -> None:
+    async def _check_keys(self, gateway_name: str, version: int) -> None:
         """Check that the API keys of a version, and no others, are in force.
 
         Args:
-            life: Name of the gateway process, which has this version or a
-                later one.
+            gateway_name: Name of the gateway process, which has this
+                version or a later one.
             version: The version.
         """
         dropped = key_of(version - 1)
         if await self._status_of(PRIVATE, dropped) == 200:
             self._note_broken(
-                life, f'took a key that version {version} has dropped'
+                gateway_name, f'took a key that version {version} has dropped'
             )
         if await self._status_of(PRIVATE, STANDING_KEY) == UNAUTHORISED:
-            self._note_broken(life, 'refused a key that all versions hold')
+            self._note_broken(
+                gateway_name, 'refused a key that all versions hold'
+            )
 
-    def _note_broken(self, life: str, what: str) -> None:
+    def _note_broken(self, gateway_name: str, what: str) -> None:
         # A new process may have answered instead of the old one.
-        if self._gateway.name == life and self._gateway.is_running:
-            self._ledger.broken.append(f'{life} {what}')
+        if self._gateway.name == gateway_name and self._gateway.is_running:
+            self._ledger.broken.append(f'{gateway_name} {what}')
 
     async def _status(self, version: int) -> int:
         return await self._status_of(f'/mark-{version}/')
 
     async def _status_of(self, prefix: str, api_key: str | None = None) -> int:
-        name = f'{self._life}-probe-{next(self._numbers)}'
-        self._ledger.begin(name, Kind.probe, self._life)
+        name = f'{self._gateway_name}-probe-{next(self._numbers)}'
+        self._ledger.begin(name, Kind.probe, self._gateway_name)
         caller = None
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
                 caller = await Caller.connect_to(self._gateway.callers)
                 target = f'{prefix}x'
                 if api_key is None:
--- a/tests/soak/weights.py
+++ b/tests/soak/weights.py
@@ -8,10 +8,10 @@
 from soak.ledger import Kind, Ledger
 
 # Minimum number of requests for a meaningful share.
-LEAST_COUNTED = 240
+MIN_REQUESTS = 240
 # Largest difference between a share and its weight.
 TOLERANCE = 0.2
-LOOK_SECONDS = 0.1
+POLL_SECONDS = 0.1
 
 
 class Scale:
@@ -31,16 +31,16 @@
     async def wait(self, seconds: float) -> None:
         """Wait until enough requests are counted, at most some seconds."""
         end = time.monotonic() + seconds
-        while self._count().total() < LEAST_COUNTED:
+        while self._count().total() < MIN_REQUESTS:
             if time.monotonic() > end:
                 return
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
     def check(self) -> list[str]:
         """Return a description of each share that differs from its weight."""
         count = self._count()
         total = count.total()
-        if total < LEAST_COUNTED:
+        if total < MIN_REQUESTS:
             return [f'only {total} requests of a split route were served']
         shares = {name: count[name] / total for name in self._weights}
         return [
