--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -313,13 +313,13 @@
         proxy.silence_open()
     silenced_at = loop.time()
     await asyncio.sleep(scene.random.random() * SILENT_FOR_SECONDS)
-    life = upstream.life
+    incarnation = upstream.incarnation
     name = upstream.name
     scene.register(upstream, state='draining')
     upstream.departure = Departure(name, silenced_at, loop.time())
     scene.ledger.notices.append(upstream.departure)
     await asyncio.sleep(DEPARTING_SECONDS)
-    if upstream.life == life:
+    if upstream.incarnation == incarnation:
         upstream.crash()
         scene.deregister(name)
         scene.register(upstream)
@@ -332,12 +332,12 @@
 
 
 async def _leave(scene: Scene, upstream: SoakUpstream, name: str) -> None:
-    life = upstream.life
+    incarnation = upstream.incarnation
     if upstream.leaving is None:
         upstream.leaving = Leaving(name)
         scene.ledger.notices.append(upstream.leaving)
     await asyncio.sleep(LEAVING_SECONDS)
-    if upstream.life != life:
+    if upstream.incarnation != incarnation:
         return
     upstream.crash()
     scene.deregister(name)
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -66,7 +66,7 @@
         self._cold_seconds = cold_seconds
         self.lost_share = lost_share
         self.zone = zone
-        self.life = 0
+        self.incarnation = 0
         # Incarnation that its name refers to; a restart may keep the name.
         self._named_incarnation = 0
         self.born = _now_milliseconds()
@@ -98,9 +98,9 @@
 
     def spec(self, **status: object) -> dict[str, object]:
         """Return the entry with which it registers itself."""
-        if self._registered_incarnation != self.life:
-            self._registered_incarnation = self.life
-            seconds = self._cold_seconds if self.life else 0.0
+        if self._registered_incarnation != self.incarnation:
+            self._registered_incarnation = self.incarnation
+            seconds = self._cold_seconds if self.incarnation else 0.0
             self.cold_until = time.monotonic() + seconds
         left = max(0.0, self.cold_until - time.monotonic())
         status = {'cold_left_ms': int(left * 1000), **status}
@@ -132,9 +132,9 @@
         Args:
             keeps_name: Whether the next incarnation has the same name.
         """
-        self.life += 1
+        self.incarnation += 1
         if not keeps_name:
-            self._named_incarnation = self.life
+            self._named_incarnation = self.incarnation
         self.born = max(_now_milliseconds(), self.born + 1)
         self._running = 0
         self.habits = Habits()
@@ -151,14 +151,14 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         self._writers.add(writer)
-        life = self.life
+        incarnation = self.incarnation
         try:
-            while life == self.life:
+            while incarnation == self.incarnation:
                 raw = await reader.readuntil(b'\r\n\r\n')
                 seen = Seen(raw.decode('latin-1'), b'')
                 length = int(seen.header('Content-Length') or 0)
                 seen.body = await reader.readexactly(length)
-                await self._answer(seen, reader, writer, life)
+                await self._answer(seen, reader, writer, incarnation)
         except (asyncio.IncompleteReadError, ConnectionError):
             return
         finally:
@@ -170,7 +170,7 @@
         seen: Seen,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        life: int,
+        incarnation: int,
     ) -> None:
         name = seen.request_id
         if seen.header('Wardstair-Expect-Instance') != self.name:
@@ -199,7 +199,7 @@
             return
         self._running += 1
         await asyncio.sleep(self._draw_work_seconds())
-        if life != self.life:
+        if incarnation != self.incarnation:
             self._mark_faulted(run)
             return
         self._running -= 1
