--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a play: they keep their connections until the process is gone."""
+"""Callers of a play; each keeps its connection until the gateway closes it."""
 
 import asyncio
 import contextlib
@@ -17,17 +17,17 @@
     Kind.once: '/order/x',
     Kind.divided: '/split/x',
 }
-# Things that requests concern.
+# Number of distinct keys that requests carry.
 KEYS = 24
-# A caller gives up on an answer after this long.
-PATIENCE_SECONDS = 4.0
-CONNECT_SECONDS = 1.0
+# Timeout of a request.
+REQUEST_TIMEOUT_SECONDS = 4.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 PAUSE_SECONDS = 0.02
 UPLOAD_BYTES = 40000
 
 
 class CallerTask:
-    """One caller; sends one request after another."""
+    """One caller, which sends requests sequentially."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         ledger: Ledger,
         random: Random,
     ) -> None:
-        """Prepare without a connection."""
+        """Create a caller that is not connected yet."""
         self._name = name
         self._gateways = gateways
         self._ledger = ledger
@@ -44,10 +44,10 @@
         self._numbers = count()
         self._caller: Caller | None = None
         self._gateway = gateways[0]
-        self._life = ''
+        self._gateway_name = ''
 
     async def run(self, is_over: Callable[[], bool]) -> None:
-        """Send requests until it is over; the last one is answered."""
+        """Send requests until the play is over; the last one is completed."""
         while not is_over():
             kind = self._random.choice((Kind.safe, Kind.divided, Kind.once))
             await self.ask(kind)
@@ -55,22 +55,22 @@
         self._drop()
 
     async def ask(self, kind: Kind) -> Try | None:
-        """Send one request; None if no connection came up."""
+        """Send one request; return None if no connection was established."""
         if self._caller is None and not await self._connect():
             await asyncio.sleep(PAUSE_SECONDS)
             return None
         caller = self._caller
         assert caller is not None
         name = f'{self._name}-{next(self._numbers)}'
-        made = self._ledger.begin(name, kind, self._life)
+        made = self._ledger.begin(name, kind, self._gateway_name)
         body = b'x' * self._random.choice((1, 200, UPLOAD_BYTES))
         key = str(self._random.randrange(KEYS))
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
                 await caller.send(TARGETS[kind], 'POST', body, name, key)
                 answer = await caller.answer()
         except (TimeoutError, ConnectionError):
-            # It leaves; what becomes of the request is not its business.
+            # The caller disconnects without an outcome for the request.
             self._drop()
             return made
         made.ended_at = time.monotonic()
@@ -83,9 +83,9 @@
 
     async def _connect(self) -> bool:
         self._gateway = self._random.choice(self._gateways)
-        self._life = self._gateway.name
+        self._gateway_name = self._gateway.name
         with contextlib.suppress(OSError, TimeoutError):
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 self._caller = await Caller.connect_to(self._gateway.callers)
         return self._caller is not None
 
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -7,65 +7,65 @@
 
 from lib.specs import ADDRESS
 
-# Bytes taken at a time, so that faults take hold in the middle of a body.
+# Bytes per read, small enough for faults to occur in the middle of a body.
 CHUNK = 4096
 
 
 class Mode(StrEnum):
-    """What happens to the bytes."""
+    """How bytes are handled."""
 
     carry = 'carry'
     delay = 'delay'
-    # Connections are reset, also those that are tried.
+    # Open and new connections are reset.
     reset = 'reset'
-    # Nothing arrives any more, and nobody is told.
+    # Bytes are discarded while connections stay open.
     silence = 'silence'
-    # Requests arrive, answers do not.
+    # Requests pass, answers are discarded.
     cut_answers = 'cut-answers'
 
 
 @dataclass(frozen=True)
-class _Way:
+class _Connection:
     number: int
     peer: str
 
 
 class CutWay(StrEnum):
-    """How the connections of one address are cut."""
+    """How the connections from one address are cut."""
 
-    # New connections and open ones carry nothing.
+    # New and open connections carry no data.
     hang = 'hang'
-    # New connections and open ones are reset.
+    # New and open connections are reset.
     reset = 'reset'
-    # New connections are reset, open ones live on.
+    # New connections are reset, open ones keep working.
     reset_new = 'reset-new'
 
 
 class Proxy:
-    """Carries connections to one port."""
+    """Forwards connections to one port."""
 
     def __init__(self, target: int) -> None:
-        """Prepare for a target port on loopback."""
+        """Create a proxy for a target port on loopback."""
         self.mode = Mode.carry
         self.delay = 0.0
         self.port = 0
         self._target = target
         self._server: asyncio.Server | None = None
-        # Connections accepted so far, and how many of them carry nothing.
+        # Connections accepted so far, and how many of them carry no data.
         self._accepted = 0
         self._silenced = 0
         self._cuts: dict[str, CutWay] = {}
-        self._of: dict[str, set[asyncio.StreamWriter]] = {}
+        self._writers_by_peer: dict[str, set[asyncio.StreamWriter]] = {}
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen on a port of the system's choice."""
+        """Listen on a port chosen by the system."""
         self._server = await asyncio.start_server(self._accept, ADDRESS, 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
     async def refuse(self, seconds: float) -> None:
-        """Have nobody listen for a while, as after the end of a process."""
+        """Stop listening for a while, as after the exit of a process."""
         if self._server is None or not self._server.is_serving():
             return
         self._server.close()
@@ -78,14 +78,14 @@
         )
 
     def set_mode(self, mode: Mode, delay: float = 0.0) -> None:
-        """Change what happens from now on."""
+        """Change how bytes are handled from now on."""
         self.mode = mode
         self.delay = delay
         if mode is Mode.reset:
             self.reset_all()
 
     def silence_open(self) -> None:
-        """Have open connections carry nothing more; new ones work."""
+        """Stop carrying data on open connections; new ones work."""
         self._silenced = self._accepted
 
     def reset_all(self) -> None:
@@ -94,20 +94,20 @@
             writer.transport.abort()
 
     def cut(self, addresses: Iterable[str], way: CutWay) -> None:
-        """Cut the connections that come from some addresses."""
+        """Cut the connections from some addresses."""
         for address in addresses:
             self._cuts[address] = way
             if way is CutWay.reset:
                 self._reset_of(address)
 
     def mend(self, addresses: Iterable[str]) -> None:
-        """End cuts; a connection that has lost bytes is reset."""
+        """End cuts; connections that may have lost bytes are reset."""
         for address in addresses:
             if self._cuts.pop(address, None) is CutWay.hang:
                 self._reset_of(address)
 
     def _reset_of(self, address: str) -> None:
-        for writer in tuple(self._of.get(address, ())):
+        for writer in tuple(self._writers_by_peer.get(address, ())):
             writer.transport.abort()
 
     async def stop(self) -> None:
@@ -127,7 +127,7 @@
         number = self._accepted
         self._writers.add(writer)
         peer = str(writer.get_extra_info('peername')[0])
-        self._of.setdefault(peer, set()).add(writer)
+        self._writers_by_peer.setdefault(peer, set()).add(writer)
         is_cut = self._cuts.get(peer) in {CutWay.reset, CutWay.reset_new}
         if self.mode is Mode.reset or is_cut:
             writer.transport.abort()
@@ -139,9 +139,11 @@
             return
         far_reader, far_writer = far
         self._writers.add(far_writer)
-        way = _Way(number, peer)
-        self._spawn(self._carry(reader, far_writer, way, is_answer=False))
-        self._spawn(self._carry(far_reader, writer, way, is_answer=True))
+        connection = _Connection(number, peer)
+        self._spawn(
+            self._carry(reader, far_writer, connection, is_answer=False)
+        )
+        self._spawn(self._carry(far_reader, writer, connection, is_answer=True))
 
     def _spawn(self, carrying: 'asyncio.Future[None] | object') -> None:
         task: asyncio.Task[None] = asyncio.ensure_future(
@@ -154,7 +156,7 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        way: '_Way',
+        connection: '_Connection',
         *,
         is_answer: bool,
     ) -> None:
@@ -162,7 +164,7 @@
             while chunk := await reader.read(CHUNK):
                 if self.mode is Mode.delay:
                     await asyncio.sleep(self.delay)
-                if self._swallows(way, is_answer=is_answer):
+                if self._discards(connection, is_answer=is_answer):
                     continue
                 writer.write(chunk)
                 await writer.drain()
@@ -170,13 +172,13 @@
             writer.transport.abort()
         finally:
             self._writers.discard(writer)
-            self._of[way.peer].discard(writer)
-            if not self._swallows(way, is_answer=is_answer):
+            self._writers_by_peer[connection.peer].discard(writer)
+            if not self._discards(connection, is_answer=is_answer):
                 writer.close()
 
-    def _swallows(self, way: '_Way', *, is_answer: bool) -> bool:
-        if self.mode is Mode.silence or way.number <= self._silenced:
+    def _discards(self, connection: '_Connection', *, is_answer: bool) -> bool:
+        if self.mode is Mode.silence or connection.number <= self._silenced:
             return True
-        if self._cuts.get(way.peer) is CutWay.hang:
+        if self._cuts.get(connection.peer) is CutWay.hang:
             return True
         return self.mode is Mode.cut_answers and is_answer
--- a/tests/soak/upstreams.py
+++ b/tests/soak/upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams of a play: they work, lose answers, fall ill, leave, come back."""
+"""Upstreams of a play, which serve, fail, leave and restart."""
 
 import asyncio
 import time
@@ -15,16 +15,16 @@
 from soak.proxy import Proxy
 
 SERVICES = ('views', 'orders')
-# An upstream that starts during a play is cold for this long: twice the wait of
-# a host that starts beside it.
+# Time for which an upstream is cold after a start during a play: twice the wait
+# of a host that starts at the same time.
 COLD_SECONDS = 6.0
 SLOTS = 4
 QUEUE = 8
 WORK_SECONDS = 0.02
-# Part of the path of a request under which each upstream ends.
+# Part of the path of requests that terminate each upstream that runs them.
 HARMFUL = '/harmful-'
 NOT_RUN = 'Wardstair-Not-Executed: 1\r\n'
-# Share of answers that a well upstream loses, so that each play has some.
+# Share of answers that a healthy upstream loses, so that each play has some.
 LOST_SHARE = 0.01
 _SEAL = 'Wardstair-Server-Seal: s.1\r\n'
 
@@ -35,13 +35,13 @@
 
 @dataclass
 class Habits:
-    """How an upstream behaves now.
+    """How an upstream behaves at present.
 
     Attributes:
-        slowness: Factor on its work.
-        lost_share: Share of answers that it loses after the run.
+        slowness: Factor on its service time.
+        lost_share: Share of answers that it loses after running the request.
         surplus_share: Share of answers that it sends twice.
-        is_mute: Whether it takes requests and answers none.
+        is_mute: Whether it accepts requests but answers none.
     """
 
     slowness: float = 1.0
@@ -51,7 +51,7 @@
 
 
 class SoakUpstream:
-    """One upstream behind a proxy of its own; it may be reborn."""
+    """One upstream behind a proxy of its own, across restarts."""
 
     def __init__(
         self,
@@ -62,45 +62,45 @@
         lost_share: float = LOST_SHARE,
         cold_seconds: float = COLD_SECONDS,
     ) -> None:
-        """Prepare without a socket."""
+        """Create an upstream that is not listening yet."""
         self._cold_seconds = cold_seconds
         self.lost_share = lost_share
         self.zone = zone
-        self.life = 0
-        # The life that its name is of; one that starts again may keep it.
-        self._named_life = 0
+        self.incarnation = 0
+        # Incarnation that its name refers to; a restart may keep the name.
+        self._named_incarnation = 0
         self.born = _now_milliseconds()
         self.service = SERVICES[place % len(SERVICES)]
         self.cold_until = 0.0
         self.habits = Habits()
-        # What it names as its limit, if anything.
+        # Rate limit that it announces, if any.
         self.naming: Naming | None = None
-        # What it says of further requests.
+        # Notices that it sends in answers.
         self.leaving: Leaving | None = None
         self.pausing: Pausing | None = None
-        # That it drains by its entry while connections are silent.
+        # Set while its entry says draining and connections are silent.
         self.departure: Departure | None = None
         self._place = place
         self._ledger = ledger
         self._random = random
         self._running = 0
-        self._registered_life = -1
+        self._registered_incarnation = -1
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.proxy = Proxy(0)
-        # Told when a harmful request has begun to run.
+        # Called when a harmful request has started to run.
         self.on_harm: Callable[[SoakUpstream], None] = lambda _upstream: None
 
     @property
     def name(self) -> str:
-        """Its name, which its next life may keep."""
-        return f'i-{self._place}-{self._named_life}'
+        """Its name, which its next incarnation may keep."""
+        return f'i-{self._place}-{self._named_incarnation}'
 
     def spec(self, **status: object) -> dict[str, object]:
-        """Return the entry by which it registers itself."""
-        if self._registered_life != self.life:
-            self._registered_life = self.life
-            seconds = self._cold_seconds if self.life else 0.0
+        """Return the entry with which it registers itself."""
+        if self._registered_incarnation != self.incarnation:
+            self._registered_incarnation = self.incarnation
+            seconds = self._cold_seconds if self.incarnation else 0.0
             self.cold_until = time.monotonic() + seconds
         left = max(0.0, self.cold_until - time.monotonic())
         status = {'cold_left_ms': int(left * 1000), **status}
@@ -113,7 +113,7 @@
         return {**entry, 'born': self.born}
 
     async def start(self) -> None:
-        """Listen, behind the proxy."""
+        """Start listening, behind the proxy."""
         self._server = await asyncio.start_server(self._serve, ADDRESS, 0)
         port = int(self._server.sockets[0].getsockname()[1])
         self.proxy = Proxy(port)
@@ -127,14 +127,14 @@
         await self.proxy.stop()
 
     def crash(self, *, keeps_name: bool = False) -> None:
-        """End this life at once; the address goes to the next.
+        """End this incarnation at once; the next one takes over its address.
 
         Args:
-            keeps_name: Whether the next one has the same name.
+            keeps_name: Whether the next incarnation has the same name.
         """
-        self.life += 1
+        self.incarnation += 1
         if not keeps_name:
-            self._named_life = self.life
+            self._named_incarnation = self.incarnation
         self.born = max(_now_milliseconds(), self.born + 1)
         self._running = 0
         self.habits = Habits()
@@ -151,14 +151,14 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         self._writers.add(writer)
-        life = self.life
+        incarnation = self.incarnation
         try:
-            while life == self.life:
+            while incarnation == self.incarnation:
                 raw = await reader.readuntil(b'\r\n\r\n')
                 seen = Seen(raw.decode('latin-1'), b'')
                 length = int(seen.header('Content-Length') or 0)
                 seen.body = await reader.readexactly(length)
-                await self._answer(seen, reader, writer, life)
+                await self._answer(seen, reader, writer, incarnation)
         except (asyncio.IncompleteReadError, ConnectionError):
             return
         finally:
@@ -170,7 +170,7 @@
         seen: Seen,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        life: int,
+        incarnation: int,
     ) -> None:
         name = seen.request_id
         if seen.header('Wardstair-Expect-Instance') != self.name:
@@ -185,11 +185,11 @@
         arrival = self._note_arrival(name)
         pausing = self.pausing
         if arrival and pausing and pausing.is_rejecting:
-            self._ask_pause(arrival, pausing, writer)
+            self._reject_with_pause(arrival, pausing, writer)
             return
         if self._running >= SLOTS + QUEUE:
             full = '503 Service Unavailable'
-            extra = NOT_RUN + self._limit()
+            extra = NOT_RUN + self._limit_header()
             writer.write(whole_answer(name, b'', full, extra))
             return
         run = self._ledger.note_run(name, self.name, self.service)
@@ -198,14 +198,14 @@
             self.on_harm(self)
             return
         self._running += 1
-        await asyncio.sleep(self._work())
-        if life != self.life:
-            self._blame(run)
+        await asyncio.sleep(self._draw_work_seconds())
+        if incarnation != self.incarnation:
+            self._mark_faulted(run)
             return
         self._running -= 1
         if self.habits.is_mute:
-            self._blame(run)
-            # Until the gateway gives up and closes the connection.
+            self._mark_faulted(run)
+            # Waits until the gateway times out and closes the connection.
             await reader.read(1)
             return
         await self._write(name, writer, run)
@@ -218,11 +218,11 @@
     ) -> None:
         habits = self.habits
         if self._random.random() < max(habits.lost_share, self.lost_share):
-            self._blame(run)
+            self._mark_faulted(run)
             writer.transport.abort()
             return
         body = f'{name} {self.name}'.encode()
-        extra = _SEAL + self._limit() + self._say_leaving(name)
+        extra = _SEAL + self._limit_header() + self._leaving_header(name)
         writer.write(whole_answer(name, body, extra=extra))
         if self._random.random() < habits.surplus_share:
             writer.write(whole_answer(name, body, extra=extra))
@@ -231,11 +231,12 @@
     def _check_organisation(self, seen: Seen) -> None:
         if seen.header('Wardstair-Credential') is not None:
             self._ledger.broken.append(f'{seen.request_id} carries its API key')
-        told = seen.header('Wardstair-Tenant')
+        received = seen.header('Wardstair-Tenant')
         wanted = ORGANISATION if PRIVATE in seen.line else None
-        if told != wanted:
+        if received != wanted:
             self._ledger.broken.append(
-                f'{seen.request_id} is of {told}, not of {wanted}',
+                f'{seen.request_id} carries organisation {received}, '
+                f'not {wanted}',
             )
 
     def _note_arrival(self, name: str) -> Arrival | None:
@@ -245,7 +246,7 @@
                 notice.came.append(arrival)
         return arrival
 
-    def _ask_pause(
+    def _reject_with_pause(
         self,
         arrival: Arrival,
         pausing: Pausing,
@@ -257,21 +258,21 @@
         writer.write(whole_answer(name, b'', unavailable, extra))
         pausing.rejected.append(arrival)
 
-    def _say_leaving(self, name: str) -> str:
+    def _leaving_header(self, name: str) -> str:
         known = self._ledger.tries.get(name)
         if self.leaving is None or known is None:
             return ''
         self.leaving.answered.append(known)
         return 'Server-Leaving: 1\r\n'
 
-    def _limit(self) -> str:
+    def _limit_header(self) -> str:
         naming = self.naming
         return '' if naming is None else f'Server-Limit: {naming.rate}\r\n'
 
-    def _work(self) -> float:
+    def _draw_work_seconds(self) -> float:
         mean = WORK_SECONDS * self.habits.slowness
         return self._random.expovariate(1 / mean)
 
-    def _blame(self, run: Run | None) -> None:
+    def _mark_faulted(self, run: Run | None) -> None:
         if run is not None:
             run.is_faulted = True
--- a/tests/soak/versions.py
+++ b/tests/soak/versions.py
@@ -1,8 +1,8 @@
-"""Whether the versions of the configuration take hold, and never go back.
+"""Checks that configuration versions take effect and never revert.
 
-Each version keeps the marking routes of the ones before it, so that a gateway
-which answered for a marking route once must always find it in that life. Each
-drops the API key that the one before it had added.
+Each version adds a marker route and keeps those of the versions before it, so a
+gateway process that has served a marker route must always have it. Each version
+removes the API key that the one before it had added.
 """
 
 import asyncio
@@ -17,23 +17,23 @@
 from soak.processes import GatewayProcess
 from soak.upstreams import SERVICES
 
-MARKS = 40
+MARKER_ROUTES = 40
 PROBE_SECONDS = 0.25
-PATIENCE_SECONDS = 3.0
+REQUEST_TIMEOUT_SECONDS = 3.0
 NOT_FOUND = 404
 UNAUTHORISED = 401
 
 
 def weights_of(version: int) -> dict[str, float]:
-    """Return the weights of the split route; each version has others."""
+    """Return the weights of the split route, which alternate by version."""
     views, orders = SERVICES
     return {views: 1, orders: 1 if version % 2 == 0 else 1 / 19}
 
 
 def marked_configuration(version: int) -> Stored:
-    """Return a configuration with a marking route for each version."""
-    begin = max(1, version - MARKS)
-    marks = {
+    """Return a configuration with marker routes for the latest versions."""
+    begin = max(1, version - MARKER_ROUTES)
+    markers = {
         f'mark-{one}': _public_route(f'/mark-{one}/', timeout_ms=1500)
         for one in range(begin, version + 1)
     }
@@ -50,7 +50,7 @@
                 for service, weight in weights_of(version).items()
             ],
         ),
-        **marks,
+        **markers,
     )
     api_keys = [STANDING_KEY, key_of(version)]
     document['tenants'] = {ORGANISATION: {'api_keys': api_keys}}
@@ -66,7 +66,7 @@
 
 
 class VersionProbe:
-    """Asks one gateway which version is in force."""
+    """Probes which version is in force on one gateway."""
 
     def __init__(
         self,
@@ -74,72 +74,78 @@
         ledger: Ledger,
         newest: Callable[[], int],
     ) -> None:
-        """Prepare.
+        """Create a probe.
 
         Args:
             gateway: The gateway.
-            ledger: Where a version that went back is noted.
-            newest: The version that the store has acknowledged last.
+            ledger: Where violations are recorded.
+            newest: Returns the version that the store acknowledged last.
         """
         self.in_force = 0
         self._gateway = gateway
         self._ledger = ledger
         self.newest = newest
         self._numbers = count()
-        self._life = ''
+        self._gateway_name = ''
 
     async def run(self, is_over: Callable[[], bool]) -> None:
-        """Ask again and again."""
+        """Probe at regular intervals."""
         while not is_over():
             await self.ask()
             await asyncio.sleep(PROBE_SECONDS)
 
     async def ask(self) -> None:
-        """Ask for the newest version, and for the one that was in force."""
-        life = self._gateway.name
-        if life != self._life:
-            self._life = life
+        """Probe the newest version, else the last one seen in force."""
+        gateway_name = self._gateway.name
+        if gateway_name != self._gateway_name:
+            self._gateway_name = gateway_name
             self.in_force = 0
         newest = self.newest()
-        if await self._status(newest) == 200 and life == self._gateway.name:
+        if (
+            await self._status(newest) == 200
+            and gateway_name == self._gateway.name
+        ):
             if newest > self.in_force:
                 self.in_force = newest
-                await self._check_keys(life, newest)
+                await self._check_keys(gateway_name, newest)
             return
         known = self.in_force
         if not known or await self._status(known) != NOT_FOUND:
             return
-        self._note_broken(life, f'went back from {known}')
+        self._note_broken(gateway_name, f'went back from {known}')
 
-    async def _check_keys(self, life: str, version: int) -> None:
-        """Look whether the API keys of a version, and no others, are in force.
+    async def _check_keys(self, gateway_name: str, version: int) -> None:
+        """Check that the API keys of a version, and no others, are in force.
 
         Args:
-            life: The gateway's life, which has this version or a later one.
+            gateway_name: Name of the gateway process, which has this
+                version or a later one.
             version: The version.
         """
         dropped = key_of(version - 1)
         if await self._status_of(PRIVATE, dropped) == 200:
             self._note_broken(
-                life, f'took a key that version {version} has dropped'
+                gateway_name, f'took a key that version {version} has dropped'
             )
         if await self._status_of(PRIVATE, STANDING_KEY) == UNAUTHORISED:
-            self._note_broken(life, 'refused a key that all versions hold')
+            self._note_broken(
+                gateway_name, 'refused a key that all versions hold'
+            )
 
-    def _note_broken(self, life: str, what: str) -> None:
-        # A new process may have answered in the place of the old one.
-        if self._gateway.name == life and self._gateway.is_running:
-            self._ledger.broken.append(f'{life} {what}')
+    def _note_broken(self, gateway_name: str, what: str) -> None:
+        # A new process may have answered instead of the old one.
+        if self._gateway.name == gateway_name and self._gateway.is_running:
+            self._ledger.broken.append(f'{gateway_name} {what}')
 
     async def _status(self, version: int) -> int:
         return await self._status_of(f'/mark-{version}/')
 
     async def _status_of(self, prefix: str, api_key: str | None = None) -> int:
-        name = f'{self._life}-probe-{next(self._numbers)}'
-        self._ledger.begin(name, Kind.probe, self._life)
+        name = f'{self._gateway_name}-probe-{next(self._numbers)}'
+        self._ledger.begin(name, Kind.probe, self._gateway_name)
         caller = None
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
                 caller = await Caller.connect_to(self._gateway.callers)
                 target = f'{prefix}x'
                 if api_key is None:
