--- a/src/wardstair/cli/explain.py
+++ b/src/wardstair/cli/explain.py
@@ -23,7 +23,7 @@
     if not request_id:
         print('give the id of a request, or --summary', file=sys.stderr)
         sys.exit(2)
-    _print_story(str(request_id))
+    _print_history(str(request_id))
 
 
 def _print_summary() -> None:
@@ -41,16 +41,16 @@
     }
 
 
-def _print_story(request_id: str) -> None:
-    story = collect_history(sys.stdin, request_id)
-    print(f'request {request_id}: {story.cause}')
-    for line in story.lines:
+def _print_history(request_id: str) -> None:
+    history = collect_history(sys.stdin, request_id)
+    print(f'request {request_id}: {history.cause}')
+    for line in history.lines:
         print(f'  {line.text()}')
-    if story.context:
+    if history.context:
         print('upstreams it was sent to, before and meanwhile:')
-    for line in story.context:
+    for line in history.context:
         print(f'  {line.text()}')
-    if story.cause is Cause.unlogged:
+    if history.cause is Cause.unlogged:
         sys.exit(1)
 
 
--- a/src/wardstair/gateway/choosing.py
+++ b/src/wardstair/gateway/choosing.py
@@ -277,21 +277,24 @@
 
     def _reachable(self, ranked: list[Upstream]) -> list[Upstream]:
         """Leave out upstreams of unreachable zones, unless none remains."""
-        reach = self._local_state.reachability
-        if reach.is_sound:
+        reachability = self._local_state.reachability
+        if reachability.is_sound:
             return ranked
         reached = [
-            one for one in ranked if not reach.is_zone_lost(one.entry.zone)
+            one
+            for one in ranked
+            if not reachability.is_zone_lost(one.entry.zone)
         ]
         return reached or ranked
 
     def is_reachable(self, query: UpstreamQuery) -> bool:
         """Return whether any upstream for a request may be reachable."""
-        reach = self._local_state.reachability
-        if reach.is_sound:
+        reachability = self._local_state.reachability
+        if reachability.is_sound:
             return True
-        return reach.may_reach(query.service) and not all(
-            reach.is_zone_lost(one.entry.zone) for one in self.ranked(query)
+        return reachability.may_reach(query.service) and not all(
+            reachability.is_zone_lost(one.entry.zone)
+            for one in self.ranked(query)
         )
 
     def _is_avoided(self, upstream: Upstream, now: float) -> bool:
--- a/src/wardstair/gateway/forwarding.py
+++ b/src/wardstair/gateway/forwarding.py
@@ -45,7 +45,7 @@
     Lost,
     NoConnection,
     NotSent,
-    Rejected,
+    RejectedByUpstream,
     Sender,
     Withheld,
 )
@@ -161,18 +161,18 @@
         progress = self._begin_peer_request(relayed)
         if progress is None:
             return peer_refusal(refusals.STARTING, relayed, ALL_GROUPS)
-        reach = self._local_state.reachability
-        if reach.looks_silent():
-            reach.mark_suspect('silent')
+        reachability = self._local_state.reachability
+        if reachability.looks_silent():
+            reachability.mark_suspect('silent')
         if not self._is_reachable(progress):
-            lost = reach.lost or ALL_GROUPS
+            lost = reachability.lost or ALL_GROUPS
             return peer_refusal(refusals.UNREACHED, relayed, lost)
         reply = await self._execute(progress)
-        if progress.history.unreachable or not reach.is_sound:
+        if progress.history.unreachable or not reachability.is_sound:
             # This host may be cut off without having detected it yet.
             unreached = frozenset((service_group(progress.service),))
-            return peer_answer_of(reply, reach.lost | unreached)
-        return peer_answer_of(reply, reach.lost)
+            return peer_answer_of(reply, reachability.lost | unreached)
+        return peer_answer_of(reply, reachability.lost)
 
     def forward_waiting(self) -> None:
         """Forward requests whose running sends may never be answered."""
@@ -345,7 +345,7 @@
                     return self._deliver(progress, placement, delivered)
                 case NotSent() | Withheld() | NoConnection() as unsent:
                     reason = self._undo_send(progress, placement, unsent)
-                case Rejected(load=load):
+                case RejectedByUpstream(load=load):
                     progress.rejected_with_capacity = (
                         load is not None and load.has_capacity
                     )
@@ -634,11 +634,11 @@
         notices = self._local_state.notices
         if notices.is_idle:
             return
-        standing = notices.availability(upstream)
-        if standing is not Availability.open:
+        availability = notices.availability(upstream)
+        if availability is not Availability.open:
             trigger = reason or FIRST_SEND
             self._reporter.sent_after_notice(
-                progress.history, upstream, standing, trigger
+                progress.history, upstream, availability, trigger
             )
 
     def _take_resend(self, progress: RequestProgress) -> bool:
@@ -690,7 +690,7 @@
     def _no_capacity_refusal(
         self,
         progress: RequestProgress,
-    ) -> refusals.Refusal:
+    ) -> refusals.GatewayRefusal:
         """Return the refusal of a request that no upstream has run."""
         query = self._query(progress)
         if self._chooser.are_all_closed(query):
@@ -710,7 +710,7 @@
     def _end(
         self,
         progress: RequestProgress,
-        refusal: refusals.Refusal,
+        refusal: refusals.GatewayRefusal,
     ) -> Reply:
         progress.is_ended = True
         if refusal.status == refusals.NOT_RUN and not progress.is_from_peer:
@@ -720,7 +720,9 @@
         self._reporter.refused(progress.history, refusal.kind, known, left)
         return refusal.reply(progress.inbound.request_id)
 
-    def _refuse(self, inbound: Inbound, refusal: refusals.Refusal) -> Reply:
+    def _refuse(
+        self, inbound: Inbound, refusal: refusals.GatewayRefusal
+    ) -> Reply:
         """Refuse a request that has no route."""
         version = self._local_state.versions.configuration
         self._reporter.unrouted(inbound, refusal.kind, version)
--- a/src/wardstair/gateway/gauges.py
+++ b/src/wardstair/gateway/gauges.py
@@ -276,9 +276,9 @@
 
 def _state_of(host: 'GatewayHost', upstream: Upstream, now: float) -> str:
     if upstream.takes_work:
-        standing = host.local_state.notices.availability(upstream)
-        if standing is not Availability.open:
-            return standing.value
+        availability = host.local_state.notices.availability(upstream)
+        if availability is not Availability.open:
+            return availability.value
     return upstream.state_now(now)
 
 
--- a/src/wardstair/gateway/host.py
+++ b/src/wardstair/gateway/host.py
@@ -563,9 +563,9 @@
 
     def _on_reachability_changed(self) -> None:
         """Announce which upstream groups this host cannot reach."""
-        reach = self.local_state.reachability
-        self.members.lost = reach.lost
-        if reach.is_cut_off:
+        reachability = self.local_state.reachability
+        self.members.lost = reachability.lost
+        if reachability.is_cut_off:
             # Connections that are still open may be dead as well.
             self.pool.close()
         self._reachability_announcer.schedule()
--- a/src/wardstair/gateway/outcomes.py
+++ b/src/wardstair/gateway/outcomes.py
@@ -14,7 +14,7 @@
     Delivered,
     Lost,
     NotSent,
-    Rejected,
+    RejectedByUpstream,
     SendOutcome,
 )
 from wardstair.gateway.settings import LiveSettings
@@ -44,13 +44,13 @@
         placement: The upstream and why it was chosen.
         route: The request's route.
         key: The affinity key of the request.
-        trail: The attempt history of the request.
+        history: The attempt history of the request.
     """
 
     placement: Placement
     route: SteeredRoute
     key: str
-    trail: AttemptHistory
+    history: AttemptHistory
 
 
 def is_failure(delivered: Delivered) -> bool:
@@ -72,7 +72,7 @@
         chooser: Chooser,
         settings: LiveSettings,
         exit_detector: ExitDetector,
-        reach: ReachabilityTable,
+        reachability: ReachabilityTable,
     ) -> None:
         """Create a recorder.
 
@@ -81,9 +81,9 @@
             chooser: Keeps the expected work of each route.
             settings: Settings of this host.
             exit_detector: Detects whether an upstream exited during a request.
-            reach: Records the upstreams that do not answer in time.
+            reachability: Records the upstreams that do not answer in time.
         """
-        self._reach = reach
+        self._reachability = reachability
         self._exit_detector = exit_detector
         self._settings = settings
         self._catalog = catalog
@@ -108,15 +108,15 @@
                     upstream.note_error(now)
                 else:
                     self._record_time(attempt, seconds, now)
-            case Rejected(is_misdirected=True):
+            case RejectedByUpstream(is_misdirected=True):
                 self._catalog.mark_gone(upstream.name)
-            case Rejected(load=ReportedLoad() as load) if (
+            case RejectedByUpstream(load=ReportedLoad() as load) if (
                 self._trusts_reported_load()
             ):
                 # An upstream with free slots may reject requests as well. If
                 # it were treated as full, its warm keys would move away.
                 upstream.note_load(load.running + load.waiting, now)
-            case Rejected():
+            case RejectedByUpstream():
                 upstream.note_load(
                     upstream.entry.slots * _FULL_LOAD_FACTOR, now
                 )
@@ -133,7 +133,7 @@
                 # shows whether the upstream works.
                 log_event(
                     'connection-forgotten',
-                    request=attempt.trail.inbound.request_id,
+                    request=attempt.history.inbound.request_id,
                     upstream=upstream.name,
                 )
             case Lost(reason=broken):
@@ -145,7 +145,7 @@
     ) -> None:
         """Record evidence for or against the request, not the upstream."""
         upstream = attempt.placement.upstream
-        inbound = attempt.trail.inbound
+        inbound = attempt.history.inbound
         match outcome:
             case Lost(reason=reason) if reason in _PROCESS_EXIT_REASONS:
                 self._exit_detector.note_broken(inbound.identity, upstream)
@@ -169,13 +169,13 @@
         """
         if attempt.placement.upstream.is_overdue(now):
             self._avoid(attempt, 'silent', now)
-            self._reach.note_failed(attempt.placement.upstream.entry)
+            self._reachability.note_failed(attempt.placement.upstream.entry)
 
     def _avoid(self, attempt: SendAttempt, reason: str, now: float) -> None:
         upstream = attempt.placement.upstream
         log_event(
             'upstream-avoided',
-            request=attempt.trail.inbound.request_id,
+            request=attempt.history.inbound.request_id,
             upstream=upstream.name,
             reason=reason,
             seconds=upstream.note_failure(now),
@@ -186,7 +186,7 @@
     ) -> None:
         upstream = attempt.placement.upstream
         was_warm = upstream.warm.has(attempt.key, now)
-        attempt.trail.was_warm = was_warm
+        attempt.history.was_warm = was_warm
         upstream.warm.note(attempt.key, now)
         candidate = attempt.placement.choice.candidate
         work = self._chooser.work_of(attempt.route)
--- a/src/wardstair/gateway/peer_messages.py
+++ b/src/wardstair/gateway/peer_messages.py
@@ -4,7 +4,7 @@
 
 from wardstair.fleet.peer_requests import PeerAnswer, PeerRequest
 from wardstair.gateway.messages import Inbound, Reply
-from wardstair.gateway.refusals import Refusal
+from wardstair.gateway.refusals import GatewayRefusal
 from wardstair.gateway.request_progress import RequestProgress
 
 
@@ -74,7 +74,7 @@
 
 
 def peer_refusal(
-    refusal: Refusal,
+    refusal: GatewayRefusal,
     relayed: PeerRequest,
     lost: frozenset[str] = frozenset(),
 ) -> PeerAnswer:
--- a/src/wardstair/gateway/refusals.py
+++ b/src/wardstair/gateway/refusals.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class GatewayRefusal:
     """A reply by which the gateway itself ends a request.
 
     Attributes:
@@ -61,19 +61,19 @@
         )
 
 
-NO_REQUEST_ID = Refusal(
+NO_REQUEST_ID = GatewayRefusal(
     400,
     RefusalKind.bad_header,
     f'the request carries no {REQUEST_ID}; send one',
 )
-NO_ROUTE = Refusal(
+NO_ROUTE = GatewayRefusal(
     404,
     RefusalKind.no_route,
     'no route covers this host and path; check both',
 )
 # The same for every kind of fault, so that it discloses nothing about existing
 # keys.
-NOT_AUTHORISED = Refusal(
+NOT_AUTHORISED = GatewayRefusal(
     401,
     RefusalKind.not_authorised,
     f'the request needs one valid API key; send it as {API_KEY}',
@@ -81,34 +81,34 @@
 )
 # A retry over a new connection may reach an entry host that is connected to the
 # store.
-UNVERIFIED = Refusal(
+UNVERIFIED = GatewayRefusal(
     503,
     RefusalKind.unverified,
     'this entry host cannot check the API key now; come back',
     retry_after=0.1,
 )
 # `retry_after` is replaced for each request.
-OVER_QUOTA = Refusal(
+OVER_QUOTA = GatewayRefusal(
     429,
     RefusalKind.over_quota,
     'the quota of the organisation is used up; come back after the stated time',
 )
 # The route and the organisation have no permitted region in common.
-NO_PERMITTED_REGION = Refusal(
+NO_PERMITTED_REGION = GatewayRefusal(
     503,
     RefusalKind.no_home,
     'no region may serve this organisation on this route; ask the operators',
 )
 # A host that has just started receives a configuration within about half a
 # second.
-STARTING = Refusal(
+STARTING = GatewayRefusal(
     503,
     RefusalKind.starting,
     'this entry host knows no configuration yet; come back',
     retry_after=0.5,
 )
 # A full upstream has a free slot again after about two answers.
-OVERLOADED = Refusal(
+OVERLOADED = GatewayRefusal(
     503,
     RefusalKind.overloaded,
     'no upstream has room; come back after the stated seconds',
@@ -118,7 +118,7 @@
 # one, so a caller that retries at once may still be served in time. Once the
 # resends that the fleet allows are used up, only the caller can retry. The time
 # is a few round trips of a caller, each 2 to 16 ms.
-TURNED_AWAY = Refusal(
+TURNED_AWAY = GatewayRefusal(
     503,
     RefusalKind.turned_away,
     'the upstreams tried turned it away; come back at once',
@@ -126,13 +126,13 @@
 )
 # All suitable upstreams announce a limit, and this host's share of it is used
 # up. `retry_after` is set for each caller.
-LIMITS_REACHED = Refusal(
+LIMITS_REACHED = GatewayRefusal(
     503,
     RefusalKind.limits_reached,
     'the upstreams take no more for now; come back after the stated seconds',
 )
 # A body is held for about as long as the upstream takes to answer.
-NO_MEMORY = Refusal(
+NO_MEMORY = GatewayRefusal(
     503,
     RefusalKind.no_memory,
     'this entry host holds as many bodies as it can; come back',
@@ -140,28 +140,28 @@
 )
 # An unreachable upstream is taken out, or becomes usable, within about a
 # second.
-NO_UPSTREAM = Refusal(
+NO_UPSTREAM = GatewayRefusal(
     503,
     RefusalKind.no_upstream,
     'no upstream can be reached; come back after the stated seconds',
     retry_after=1.0,
 )
 # The host that forwarded the request tries another peer.
-UNREACHED = Refusal(
+UNREACHED = GatewayRefusal(
     503,
     RefusalKind.unreached,
     'this entry host does not reach the upstreams either; come back',
     retry_after=0.1,
 )
 # Their replacements register within about a second.
-UPSTREAMS_LEAVING = Refusal(
+UPSTREAMS_LEAVING = GatewayRefusal(
     503,
     RefusalKind.upstreams_leaving,
     'all upstreams are about to end; come back after the stated seconds',
     retry_after=1.0,
 )
 # `retry_after` is set for each caller.
-UPSTREAMS_PAUSED = Refusal(
+UPSTREAMS_PAUSED = GatewayRefusal(
     503,
     RefusalKind.upstreams_paused,
     'all upstreams have asked for a pause; come back after the stated seconds',
@@ -169,22 +169,22 @@
 # Upstreams exited while they ran this request. It stays refused until the
 # stated time, or until an operator lifts the hold; `retry_after` is set for
 # each request.
-ENDS_UPSTREAMS = Refusal(
+ENDS_UPSTREAMS = GatewayRefusal(
     503,
     RefusalKind.ends_upstreams,
     'upstreams ended under this request, so it is not run; do not repeat it',
 )
-DEADLINE_PASSED = Refusal(
+DEADLINE_PASSED = GatewayRefusal(
     504,
     RefusalKind.deadline_passed,
     'the time of the request is up; it may have run',
 )
-OUTCOME_UNKNOWN = Refusal(
+OUTCOME_UNKNOWN = GatewayRefusal(
     502,
     RefusalKind.outcome_unknown,
     'the upstream gave no whole answer; the request may have run',
 )
-INTERNAL_FAULT = Refusal(
+INTERNAL_FAULT = GatewayRefusal(
     500,
     RefusalKind.internal_fault,
     'the entry host failed; see its log under this request id',
--- a/src/wardstair/gateway/reporting.py
+++ b/src/wardstair/gateway/reporting.py
@@ -144,8 +144,8 @@
         self._metrics.requests.add(history.route.name)
         self._metrics.observe_request(history.route.name, took)
         self._metrics.observe_upstream(history.service, delivered.seconds)
-        pace = self._good if is_good else self._other
-        if not pace.allows(history.inbound.request_id, now):
+        rate_limit = self._good if is_good else self._other
+        if not rate_limit.allows(history.inbound.request_id, now):
             self._metrics.lines_thinned.add('request-answered')
             return
         candidate = placement.choice.candidate
@@ -381,7 +381,7 @@
         return False
 
 
-def _age(now: float, told_at: float) -> float | None:
+def _age(now: float, reported_at: float) -> float | None:
     """Return the age of a load report in seconds, None if there is none."""
-    age = now - told_at
+    age = now - reported_at
     return round(age, 3) if age < float('inf') else None
--- a/src/wardstair/gateway/sending.py
+++ b/src/wardstair/gateway/sending.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rejected:
+class RejectedByUpstream:
     """The upstream answered that it has not run the request.
 
     Attributes:
@@ -111,7 +111,9 @@
     seconds: float
 
 
-SendOutcome = NotSent | Withheld | NoConnection | Rejected | Lost | Delivered
+SendOutcome = (
+    NotSent | Withheld | NoConnection | RejectedByUpstream | Lost | Delivered
+)
 
 
 class Sender:
@@ -333,7 +335,7 @@
 ) -> SendOutcome:
     if fields.is_not_run or answer.status == _MISDIRECTED:
         is_misdirected = answer.status == _MISDIRECTED
-        return Rejected(answer.status, is_misdirected, fields.load)
+        return RejectedByUpstream(answer.status, is_misdirected, fields.load)
     if answer.status in _SUCCESS_STATUSES and not fields.has_seal:
         return Lost(BreakReason.malformed)
     if answer.status in _NOT_RUN_STATUSES:
@@ -346,7 +348,7 @@
 def _is_from(upstream: Upstream, outcome: SendOutcome) -> bool:
     """Return whether an answer comes from the intended upstream."""
     match outcome:
-        case Rejected(is_misdirected=is_misdirected):
+        case RejectedByUpstream(is_misdirected=is_misdirected):
             return not is_misdirected
         case Lost(reason=BreakReason.malformed):
             return False
--- a/src/wardstair/platform/objects.py
+++ b/src/wardstair/platform/objects.py
@@ -314,7 +314,7 @@
         services,
         limits,
         index_routes(routes),
-        defaulted_fields=_configuration_gaps(parsed),
+        defaulted_fields=_defaulted_fields(parsed),
         organisations=_organisations(parsed.tenants),
     )
 
@@ -433,7 +433,7 @@
     )
 
 
-def _configuration_gaps(parsed: _Configuration) -> tuple[str, ...]:
+def _defaulted_fields(parsed: _Configuration) -> tuple[str, ...]:
     gaps = list(
         _missing_fields('limits', parsed.limits, tuple(_Limits.model_fields))
     )
--- a/src/wardstair/process/host.py
+++ b/src/wardstair/process/host.py
@@ -181,7 +181,7 @@
             self.fleet,
             self.pool,
         )
-        self._order_desk = OrderExecutor(self._platform)
+        self._order_executor = OrderExecutor(self._platform)
         self._lookup_answers: LookupAnswers | None = None
         self._lookup_generation: object = None
         self._callers = CallerServer(self, is_internal=False)
@@ -385,7 +385,7 @@
                     for line in forecast.lines
                 ]
             )
-        answer = await self._order_desk.execute(order)
+        answer = await self._order_executor.execute(order)
         match answer:
             case Ok(done):
                 log_event(
--- a/tests/unit/test_reach.py
+++ b/tests/unit/test_reach.py
@@ -51,22 +51,24 @@
         self.catalog = Catalog(lambda: self.now)
         entries = [entry_of(name, *place) for name, place in PLACES.items()]
         self.catalog.replace_all(entries, at(1), store_was_away=False)
-        self.reach = ReachabilityTable(self.catalog)
-        self.reach.times = lambda: probe_times(4.0)
-        self.reach.on_change = lambda: self.changes.append(self.reach.lost)
-        self.reach.on_regained = self.regained.append
+        self.reachability = ReachabilityTable(self.catalog)
+        self.reachability.times = lambda: probe_times(4.0)
+        self.reachability.on_change = lambda: self.changes.append(
+            self.reachability.lost
+        )
+        self.reachability.on_regained = self.regained.append
 
     def entry(self, name: str) -> UpstreamEntry:
         return self.catalog.upstreams[name].entry
 
     def answer(self, *names: str) -> None:
         for name in names:
-            self.reach.note_reached(self.entry(name))
+            self.reachability.note_reached(self.entry(name))
 
     def fail(self, *names: str) -> None:
         for name in names:
             self.now += 0.11
-            self.reach.note_failed(self.entry(name))
+            self.reachability.note_failed(self.entry(name))
 
 
 @pytest.mark.parametrize(
@@ -98,31 +100,31 @@
     for step in steps.split():
         act = host.answer if step[0] == '+' else host.fail
         act(step[1:])
-    assert ','.join(sorted(host.reach.lost)) == lost
-    assert host.reach.is_cut_off is (lost == ALL)
+    assert ','.join(sorted(host.reachability.lost)) == lost
+    assert host.reachability.is_cut_off is (lost == ALL)
 
 
 def test_failures_within_a_moment_do_not_cut_off() -> None:
     host = Host()
     host.answer('v0-south')
     for name in PLACES:
-        host.reach.note_failed(host.entry(name))
-    assert host.reach.is_sound
+        host.reachability.note_failed(host.entry(name))
+    assert host.reachability.is_sound
     host.now += 0.2
-    host.reach.note_failed(host.entry('v0-north'))
-    assert host.reach.is_cut_off
+    host.reachability.note_failed(host.entry('v0-north'))
+    assert host.reachability.is_cut_off
 
 
 def test_one_answer_makes_its_groups_reachable_again() -> None:
     host = Host()
     host.fail('v0-north', 'o0-south', 'v1-south')
-    assert host.reach.is_cut_off
-    assert not host.reach.may_reach('orders')
+    assert host.reachability.is_cut_off
+    assert not host.reachability.may_reach('orders')
     host.answer('o1-north')
-    assert host.changes == [frozenset((ALL,)), host.reach.lost]
-    assert not host.reach.is_cut_off
+    assert host.changes == [frozenset((ALL,)), host.reachability.lost]
+    assert not host.reachability.is_cut_off
     assert host.regained == [frozenset((ALL,))]
-    assert host.reach.may_reach('orders')
+    assert host.reachability.may_reach('orders')
 
 
 def test_failures_of_removed_upstreams_do_not_count() -> None:
@@ -132,15 +134,15 @@
     host.catalog.apply([], gone, at(2), store_was_away=False)
     host.fail('v1-south')
     # The only remaining upstream: there is none to compare it with.
-    assert host.reach.is_cut_off
+    assert host.reachability.is_cut_off
     host.catalog.apply(
         [entry_of('new', 'views', 'north')],
         ['v1-south'],
         at(3),
         store_was_away=False,
     )
-    host.reach.refresh()
-    assert host.reach.is_sound or host.reach.is_suspect
+    host.reachability.refresh()
+    assert host.reachability.is_sound or host.reachability.is_suspect
 
 
 @pytest.mark.parametrize(
@@ -176,12 +178,12 @@
     for _ in range(10 * answers_a_second):
         host.now += 1 / answers_a_second
         host.answer('v0-north')
-        host.reach.looks_silent()
+        host.reachability.looks_silent()
     host.now += 0.3
-    assert not host.reach.looks_silent()
+    assert not host.reachability.looks_silent()
     waiting = host.catalog.upstreams['o0-south']
     waiting.running[1] = RunningSend(host.now, 0.5, 0.5)
-    assert host.reach.looks_silent() is is_silent
+    assert host.reachability.looks_silent() is is_silent
 
 
 @pytest.mark.parametrize('contact', [0.5, 3.0, 4.0, 10.0])
@@ -282,17 +284,19 @@
 def test_open_connections_do_not_affect_new_ones() -> None:
     host = Host()
     suspected_at = []
-    host.reach.on_opening_suspect = lambda: suspected_at.append(host.now)
+    host.reachability.on_opening_suspect = lambda: suspected_at.append(host.now)
     for name in ('v0-north', 'o0-south', 'v1-south'):
-        host.reach.note_unopened(host.entry(name))
+        host.reachability.note_unopened(host.entry(name))
         host.answer('v0-north', 'o1-south')
     assert suspected_at == [host.now]
-    assert host.reach.is_sound
-    assert not any(host.reach.may_open(host.entry(name)) for name in PLACES)
+    assert host.reachability.is_sound
+    assert not any(
+        host.reachability.may_open(host.entry(name)) for name in PLACES
+    )
     # An answer on a new connection opens all groups; broken open connections
     # close none.
-    host.reach.note_opened(host.entry('o1-north'))
-    assert all(host.reach.may_open(host.entry(name)) for name in PLACES)
+    host.reachability.note_opened(host.entry('o1-north'))
+    assert all(host.reachability.may_open(host.entry(name)) for name in PLACES)
     host.fail('v0-north', 'o0-south', 'v1-south')
-    assert host.reach.is_cut_off
-    assert all(host.reach.may_open(host.entry(name)) for name in PLACES)
+    assert host.reachability.is_cut_off
+    assert all(host.reachability.may_open(host.entry(name)) for name in PLACES)
